--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -1,11 +1,13 @@
-//! The one host that orders new weights.
+//! Leadership of weights rollouts: one host at a time orders engines to change to
+//! new weights.
 //!
-//! The holder is the member of a group in the platform's store to which the
-//! store deals one partition: the store decides, keeps the lease and numbers
-//! each change, and that number is the fencing token. When a host that was
-//! dealt the duty may order is decided by [`marjoram_core::tenure`]. Each
-//! order names the life of the engine and how many orders that has accepted,
-//! so one that arrives late does nothing.
+//! The leader is the member of a candidate group in the platform's store to which
+//! the store assigns the group's only partition. The store decides, keeps the
+//! lease and numbers each reassignment; that number is the fencing token. When a
+//! host that was assigned leadership may send orders is decided by
+//! [`marjoram_core::tenure`]. Each order names the incarnation of the engine and
+//! the number of orders that it has accepted, so an order that arrives late has
+//! no effect.
 
 mod change;
 mod membership;
@@ -31,62 +33,69 @@
 use crate::clock;
 use membership::JOIN_ANSWER;
 
-/// The group of hosts that may hold the duty, and its topic.
+/// The candidate group in the store, and the topic whose partition is assigned to
+/// the leader.
 const GROUP: &str = "marjoram";
 const TOPIC: &str = "marjoram-duty";
 
-/// The lease asked for, unless the store grants only longer ones. A holder
-/// that is gone is replaced after it.
+/// The lease to request, unless the store's minimum is longer. A leader that has
+/// failed is replaced after it expires.
 const LEASE: Duration = Duration::from_millis(2_700);
 
-/// Longest and shortest time between two looks at what is due.
+/// Longest and shortest time between two checks for due changes.
 const MAX_INTERVAL: Duration = Duration::from_millis(500);
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at the holder's traffic and at engines out of its reach.
+/// Time between two checks of the leader's traffic and of engines that it cannot
+/// reach.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rounds of greetings within which another host tells that it does not reach
-/// an engine.
+/// Heartbeat rounds for which another host's unreachable report for an engine
+/// counts.
 const DOUBT_ROUNDS: u32 = 2;
 
-/// Time between two looks at the engines that a former holder has ordered to
-/// change, by one that may not order yet: each costs a question to them.
+/// Time between two polls of the engines that a former leader ordered to change,
+/// by a new leader that may not order yet. Each poll costs a call to each of
+/// these engines.
 const TAKE_OVER_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What the holder knows of the engines it orders.
+/// What the leader knows about one engine.
 #[derive(Debug, Clone, Default)]
 struct Known {
-    /// Orders the engine has accepted.
+    /// Number of orders that the engine has accepted.
     orders: Option<u64>,
-    /// The version it changes to.
+    /// The version to which it is changing.
     changing: Option<u64>,
-    /// Nothing is ordered of it before then.
+    /// No order is sent to it before this time.
     pause: Option<Duration>,
-    /// Attempts that failed one after the other.
+    /// Consecutive failed attempts.
     failures: u32,
     /// Since when it has not answered.
     unreached: Option<Duration>,
 }
 
-/// This host's side of the duty.
+/// This host's side of the leadership.
 pub struct Duty {
     site: Rc<Site>,
-    /// Whether and since when it is held, on the clock of [`clock::now`].
+    /// This host's leadership term, on the clock of [`clock::now`].
     tenure: RefCell<Tenure>,
-    /// The group has been left for good.
+    /// Set once the host has left the group for good, when the process stops.
     released: Cell<bool>,
     known: RefCell<HashMap<Life, Known>>,
-    /// Calls to engines that may be under way, and when the next may begin.
+    /// Limits concurrent calls to engines.
     calls: Semaphore,
+    /// Decides when the next call may begin.
     paced: Cell<Calls>,
-    /// The group is to be left for a while.
+    /// Set when this host is to leave the group for a while, so that another
+    /// becomes leader.
     hands_over: Cell<bool>,
-    /// The engines that a former holder ordered are being asked.
+    /// Set while the engines that a former leader ordered to change are being
+    /// polled.
     takes_over: Cell<bool>,
 }
 
-/// Starts to stand for the duty and to carry it out while it is held.
+/// Starts the tasks that keep this host a candidate and run rollouts while it is
+/// leader.
 pub fn start(site: &Rc<Site>) -> Rc<Duty> {
     let duty = Rc::new(Duty {
         site: site.clone(),
@@ -104,7 +113,7 @@
     duty
 }
 
-/// Gives the duty up; nothing is ordered from here on.
+/// Gives up leadership and candidacy for good; no order is sent after this call.
 pub async fn release(duty: &Duty) {
     if duty.released.replace(true) {
         return;
@@ -112,8 +121,9 @@
     leave(duty).await;
 }
 
-/// Leaves the group; nothing is ordered until it is joined again. An order that
-/// is on its way arrives before the store can deal the duty to another.
+/// Leaves the group; no order is sent until it is joined again. The wait lets
+/// orders in flight arrive before the store can assign leadership to another
+/// host.
 async fn leave(duty: &Duty) {
     let held = duty.tenure.borrow().is_held();
     duty.tenure.borrow_mut().release();
@@ -123,23 +133,23 @@
     let settings = duty.site.settings.load_full();
     let leave = store::leave(GROUP, &settings.name);
     let left = Caller::new(settings.store.addr).call(&leave, &[], JOIN_ANSWER).await;
-    tracing::info!(target: "duty", outcome = ?left.map(|r| r.status), "left the group");
+    tracing::info!(target: "duty", outcome = ?left.map(|r| r.status), "left the candidate group");
 }
 
-/// Whether engines are due to change their weights.
+/// Whether any engine still has to change its weights.
 fn is_pending(site: &Site) -> bool {
     let named = newest(site);
     engines(site).iter().any(|u| named.iter().any(|w| is_behind(u, w)))
 }
 
-/// Whether `upstream` stays and serves weights that `newest` replaced.
+/// Whether `upstream` serves weights older than `newest` and is not leaving.
 fn is_behind(upstream: &Upstream, newest: &Weights) -> bool {
     let older = upstream.weights(&newest.model).is_some_and(|v| v < newest.version);
     older && !upstream.entry.borrow().leaving
 }
 
-/// The upstreams that the configuration knows as engines: an entry with a
-/// service that it does not name may be anybody's.
+/// The upstreams whose service the configuration declares as an engine. Entries
+/// of other services are left out: any writer could have made them.
 fn engines(site: &Site) -> Vec<Rc<Upstream>> {
     let Some(catalog) = site.catalog() else { return Vec::new() };
     let all = site.fleet.all().into_iter();
@@ -147,37 +157,41 @@
 }
 
 impl Duty {
-    /// The store, asked at `asked`, dealt the duty to this host, or not.
+    /// Handles the store's answer to a request sent at `asked`: whether it
+    /// assigned leadership to this host.
     fn dealt(self: &Rc<Self>, held: bool, token: Token, asked: Duration) {
         let now = clock::now();
         match self.tenure.borrow_mut().dealt(held, token, asked, now, self.turns()) {
             Dealt::Unchanged => {}
             Dealt::Taken { token, since } => {
                 let settled_ms = now.saturating_sub(since).as_millis() as u64;
-                tracing::info!(target: "duty", token = token.number(), settled_ms, "duty taken");
+                tracing::info!(target: "duty", token = token.number(), settled_ms,
+                    "became leader of weights rollouts");
                 self.known.borrow_mut().retain(|_, known| known.changing.is_some());
                 if !self.takes_over.replace(true) {
                     ntex::rt::spawn(take_over(self.clone()));
                 }
             }
             Dealt::Lost { token } => {
-                tracing::info!(target: "duty", token = token.number(), "duty lost")
+                tracing::info!(target: "duty", token = token.number(),
+                    "lost leadership of weights rollouts")
             }
         }
     }
 
-    /// How far apart the orders of two holders must be.
+    /// The minimum time between the last order of one leader and the first of the
+    /// next.
     fn turns(&self) -> Duration {
         self.site.settings.load().bounds.lease
     }
 
-    /// The fencing token, while orders may be given.
+    /// The fencing token, while this host may send orders.
     fn token(&self) -> Option<Token> {
         self.tenure.borrow().token(clock::now(), self.turns())
     }
 
-    /// Waits until a call to an engine may be made; it is under way until what
-    /// is returned is dropped.
+    /// Waits until a call to an engine may begin. The call counts as in progress
+    /// until the returned permit is dropped.
     async fn call_slot(&self) -> Option<SemaphorePermit<'_>> {
         let permit = self.calls.acquire().await.ok();
         let mut paced = self.paced.get();
@@ -187,26 +201,28 @@
         permit
     }
 
-    /// Time between two questions to an engine whether it has changed.
+    /// Time between two polls of an engine that is changing.
     fn question_pause(&self) -> Duration {
         let known = self.known.borrow();
         let changing = known.values().filter(|k| k.changing.is_some()).count();
         self.site.settings.load().capacity.link.question_pause(changing)
     }
 
-    /// Whether this host orders and has something to order: while it stops,
-    /// another would first let the bound on turns pass.
+    /// Whether this host may send orders and has some to send. Stopping waits for
+    /// this, since the next leader first has to wait out the bound between two
+    /// leaders' orders.
     pub fn is_busy(&self) -> bool {
         self.token().is_some() && is_pending(&self.site)
     }
 }
 
-/// The lease asked for.
+/// The lease to request from the store.
 fn lease(site: &Site) -> Duration {
     LEASE.max(site.settings.load().store.lease_min)
 }
 
-/// Looks for engines on replaced weights and orders them to change.
+/// Runs rollouts: checks for engines on replaced weights and orders them to
+/// change.
 async fn carry_out(duty: Rc<Duty>) {
     loop {
         let _ = tokio::time::timeout(MAX_INTERVAL, duty.site.duty.notified()).await;
@@ -217,7 +233,7 @@
     }
 }
 
-/// Hands the duty over if engines are out of this host's reach alone.
+/// Hands leadership over if this host alone cannot reach some engines.
 fn look_for_unreached(duty: &Duty) {
     let (site, mut known) = (&duty.site, duty.known.borrow_mut());
     let (now, named) = (site.now(), newest(site));
@@ -227,7 +243,8 @@
     let due = engines(site).into_iter().filter(behind);
     let unreached = due.filter_map(|upstream| {
         let known = known.get_mut(&upstream.life)?;
-        // What others doubt they do not reach either.
+        // Engines that other hosts cannot reach either are no reason to hand
+        // over: their time starts anew.
         let since = if upstream.was_doubted(now, heard) { now } else { known.unreached? };
         known.unreached = known.unreached.map(|_| since);
         let used = upstream.others.get().running > 0;
@@ -239,8 +256,8 @@
     }
 }
 
-/// Logs what the holder sends and looks for engines that it cannot reach, as
-/// long as engines are due to change.
+/// Every second while a rollout is pending, logs the leader's traffic and checks
+/// for engines that it cannot reach.
 async fn watch(duty: Rc<Duty>) {
     let site = &duty.site;
     let mut before = site.traffic.totals();
@@ -252,7 +269,7 @@
                 duty.known.borrow().values().filter(|known| known.changing.is_some()).count();
             look_for_unreached(&duty);
             tracing::info!(target: "duty", orders = duty.token().is_some(), changing,
-                traffic = ?totals.since(before), "holder's traffic in a second");
+                traffic = ?totals.since(before), "leader's traffic in the last second");
         }
         before = totals;
     }
@@ -291,8 +308,9 @@
     }
 }
 
-/// Goes on telling that engines are closed which a former holder has ordered
-/// to change, until this one may order itself.
+/// Until this host may send orders itself, keeps announcing as closed those
+/// engines that a former leader ordered to change and that are still carrying out
+/// the order.
 async fn take_over(duty: Rc<Duty>) {
     let site = &duty.site;
     while duty.tenure.borrow().is_held() && duty.token().is_none() {
@@ -316,7 +334,7 @@
     duty.takes_over.set(false);
 }
 
-/// The newest weights named of each model.
+/// The newest announced weights version of each model.
 fn newest(site: &Site) -> Vec<Weights> {
     let named = site.named.borrow();
     let newest = |(model, named): (&String, &Named)| {
--- a/crates/router/src/proxy/duty/change.rs
+++ b/crates/router/src/proxy/duty/change.rs
@@ -1,4 +1,5 @@
-//! One engine's change to newly named weights: announced, ordered, awaited.
+//! One engine's change to newly announced weights: it is announced to the other
+//! hosts, ordered and awaited.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,36 +16,38 @@
 use crate::proxy::reports::{self, ANSWER};
 use crate::proxy::storeclient::Caller;
 
-/// Time between the announcement that an engine closes and its order: what
-/// was sent there before has begun by then. The engine refuses what has not.
+/// Time between the announcement that an engine closes and the order to it.
+/// Requests already on their way to the engine have begun within this time; the
+/// engine refuses those that have not.
 const ORDER_DELAY: Duration = Duration::from_millis(120);
 
-/// When an engine is first asked whether it has changed. Its report is some
-/// hundred milliseconds old.
+/// Time after an accepted order before the engine is first polled. Its report is
+/// some hundred milliseconds old.
 const FIRST_REPORT: Duration = Duration::from_millis(650);
 
-/// How long an engine may take to change before it is left for later.
+/// How long an engine may take to change before the attempt is given up and
+/// repeated later.
 const CHANGE_TIME: Duration = Duration::from_secs(6);
 
-/// How long a former holder goes on with a change; the next holder tells of it
-/// by then.
+/// How long a former leader goes on with a change; by then, the next leader
+/// announces the engine's state.
 const HANDED_ON: Duration = Duration::from_secs(3);
 
-/// Pause before an engine whose order failed gets another, doubled for each
-/// further failure but no more often than so.
+/// Delay before an engine whose order failed gets another. Doubled for each
+/// further failure, at most `ORDER_DOUBLINGS` times.
 const ORDER_PAUSE: Duration = Duration::from_millis(400);
 const ORDER_DOUBLINGS: u32 = 3;
 
 /// How an engine's change ended.
 enum End {
     Changed,
-    /// It serves what it did.
+    /// The engine still serves its former weights.
     Failed(String),
-    /// It may still be changing.
+    /// The engine may still be changing.
     Unknown(String),
 }
 
-/// Brings one engine to `weights`.
+/// Changes one engine to `weights`.
 pub(super) async fn change(duty: Rc<Duty>, upstream: Rc<Upstream>, weights: Weights) {
     let begun = duty.site.now();
     let mut closed = false;
@@ -60,7 +63,7 @@
                 state.failures = 0;
                 upstream.serves(&weights.model, weights.version);
                 tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version,
-                    ms, "engine changed");
+                    ms, "engine changed its weights");
             }
             End::Failed(why) | End::Unknown(why) => {
                 state.pause =
@@ -68,12 +71,13 @@
                 state.failures += 1;
                 state.orders = None;
                 tracing::warn!(target: "weights", upstream = %upstream.life, version = weights.version,
-                    ms, why, failures = state.failures, "engine not changed");
+                    ms, why, failures = state.failures, "engine did not change its weights");
             }
         }
     }
-    // Others that were told nothing of the change need not be told of its end, and
-    // one that may still be changing stays closed for as long as was told.
+    // Hosts that were sent no announcement of the change need none of its end. An
+    // engine that may still be changing stays closed for as long as was
+    // announced.
     if matches!(end, End::Changed) || closed && matches!(end, End::Failed(_)) {
         let served = upstream.weights(&weights.model).unwrap_or_default();
         notices::open(&duty.site, &upstream, &Weights { version: served, ..weights });
@@ -81,14 +85,14 @@
     duty.site.duty.notify_one();
 }
 
-/// Whether an engine reports that it carries out an order.
+/// Whether an engine reports that it is carrying out an order.
 pub(super) async fn is_busy(duty: Rc<Duty>, upstream: Rc<Upstream>) -> bool {
     let addr = upstream.entry.borrow().addr;
     ask(&duty, &mut Caller::new(addr), &upstream).await.is_ok_and(|report| report.busy)
 }
 
-/// Orders one engine to change, once the other hosts have been told that it
-/// closes, and waits until it has; `closed` says whether they have been.
+/// Announces to the other hosts that one engine closes, then orders it to change
+/// and waits until it has. `closed` is set once the announcement has been queued.
 async fn order(duty: &Duty, upstream: &Rc<Upstream>, weights: &Weights, closed: &mut bool) -> End {
     let addr: SocketAddr = upstream.entry.borrow().addr;
     let mut caller = Caller::new(addr);
@@ -109,9 +113,10 @@
     *closed = true;
     notices::sent(&duty.site, upstream).await;
     tokio::time::sleep(ORDER_DELAY).await;
-    // The wait for a call may outlast the lease, so the token is taken after it.
+    // The wait for a call slot may outlast the lease, so the token is read after
+    // it.
     let permit = duty.call_slot().await;
-    let Some(token) = duty.token() else { return End::Failed("duty no longer held".into()) };
+    let Some(token) = duty.token() else { return End::Failed("no longer leader".into()) };
     let order = WeightsOrder {
         upstream: upstream.life.clone(),
         weights: weights.clone(),
@@ -133,15 +138,15 @@
         }
         Ok(Ordered::Misdirected) => {
             duty.site.fleet.remove(&upstream.life);
-            return End::Failed("another upstream has its address".into());
+            return End::Failed("its address belongs to another upstream".into());
         }
         Ok(Ordered::Conflict) => {
-            // Another order is under way or was accepted unseen; what the
-            // engine reports next is the truth.
+            // Another order is in progress, or was accepted unnoticed; the
+            // engine's next report decides.
             duty.known.borrow_mut().entry(upstream.life.clone()).or_default().orders = None;
         }
         Ok(outcome) => return End::Failed(format!("{outcome:?}")),
-        // It may have been accepted.
+        // The order may have been accepted although no answer came.
         Err(_) => {
             duty.known.borrow_mut().entry(upstream.life.clone()).or_default().orders = None;
             caller = Caller::new(addr);
@@ -151,7 +156,7 @@
     wait_changed(duty, upstream, weights, &mut caller, accepted).await
 }
 
-/// Asks an engine for its report, and counts the call.
+/// Fetches an engine's report and counts the call.
 async fn ask(duty: &Duty, caller: &mut Caller, upstream: &Upstream) -> Result<Report, String> {
     let permit = duty.call_slot().await;
     let report = reports::ask(caller, upstream).await;
@@ -175,7 +180,8 @@
     accepted: bool,
 ) -> End {
     let begun = duty.site.now();
-    // An order without an answer has most likely not arrived.
+    // An order that got no answer has most likely not arrived, so the engine is
+    // polled earlier.
     let mut pause = if accepted { FIRST_REPORT } else { QUESTION };
     let mut idle = 0;
     loop {
@@ -183,9 +189,10 @@
         pause = if accepted { duty.question_pause() } else { QUESTION };
         let now = duty.site.now();
         if duty.token().is_none() && now - begun > HANDED_ON {
-            return End::Unknown("duty no longer held".into());
+            return End::Unknown("no longer leader".into());
         }
-        // It stays closed for those that have not heard so.
+        // Announced again for hosts that did not receive the previous
+        // announcement.
         notices::close(&duty.site, std::slice::from_ref(upstream), weights);
         if upstream.weights(&weights.model) >= Some(weights.version) {
             return End::Changed;
@@ -193,13 +200,13 @@
         match ask(duty, caller, upstream).await {
             Ok(report) if serves(&report, weights) => return End::Changed,
             Ok(report) if report.busy => idle = 0,
-            Ok(_) if !accepted && idle >= 1 => return End::Failed("not accepted".into()),
+            Ok(_) if !accepted && idle >= 1 => return End::Failed("order not accepted".into()),
             Ok(_) => idle += 1,
             Err(why) if now - begun > CHANGE_TIME / 2 => return End::Unknown(why),
             Err(_) => {}
         }
         if now - begun > CHANGE_TIME {
-            return End::Unknown("takes too long".into());
+            return End::Unknown("engine did not change in time".into());
         }
     }
 }
--- a/crates/router/src/proxy/duty/membership.rs
+++ b/crates/router/src/proxy/duty/membership.rs
@@ -1,5 +1,6 @@
-//! A host's membership of the group to whose members the store deals the
-//! duty: when it joins, how it stays, and when it leaves.
+//! A host's membership of the candidate group, to one of whose members the store
+//! assigns leadership: when the host joins, how it renews its membership, and
+//! when it leaves.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,37 +18,38 @@
 use crate::proxy::storelink::SLOW;
 use crate::proxy::traffic::Totals;
 
-/// The partition that is the duty.
+/// The partition whose assignee is the leader.
 const DUTY: u32 = 0;
 
-/// Renewals in one lease.
+/// Renewals per lease.
 const RENEWALS: u32 = 4;
 
-/// Time for the store's answer to a renewal, and for connecting to it.
+/// Time limit for connecting to the store and for its answer to a renewal.
 pub(super) const JOIN_ANSWER: Duration = Duration::from_millis(450);
 
-/// Time for a host that starts to hear the others' greetings, and between
-/// looks whether it may join.
+/// Time after the start, in addition to one heartbeat round, for receiving the
+/// other hosts' heartbeats before joining; and the time between two checks
+/// whether to join.
 const JOIN_DELAY: Duration = Duration::from_millis(400);
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause after a renewal that was refused.
+/// Delay after a renewal that failed.
 const JOIN_PAUSE: Duration = Duration::from_millis(200);
 
-/// Why a membership ended.
+/// Why a membership ended. The names are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     /// The process stops.
     Released,
-    /// The store did not confirm it in time, though it confirmed others.
+    /// The store did not confirm this host in time, though it confirmed others.
     Lapsed,
-    /// Enough hosts with more room stand.
+    /// Enough hosts with more capacity are candidates.
     Unneeded,
-    /// Engines are out of this host's reach alone.
+    /// This host alone cannot reach some engines.
     OutOfReach,
 }
 
-/// What this host knows when it decides whether to stand.
+/// What this host knows when it decides whether to be a candidate.
 pub(super) fn view(site: &Site) -> View {
     let now = site.now();
     View {
@@ -61,7 +63,7 @@
     }
 }
 
-/// Joins the group whenever this host is to stand, and leaves it again.
+/// Joins the group whenever this host is to be a candidate, and leaves it again.
 pub(super) async fn stand(duty: Rc<Duty>) {
     let site = &duty.site;
     while !duty.released.get() {
@@ -74,11 +76,11 @@
             End::Unneeded => {}
         }
         leave(&duty).await;
-        tracing::info!(target: "duty", ?end, "stands no more");
+        tracing::info!(target: "duty", ?end, "no longer a candidate");
     }
 }
 
-/// Leaves the duty to hosts with a better link for a while.
+/// Leaves leadership to hosts with a better link for a while.
 fn rest(duty: &Duty) {
     duty.site.rest.set(duty.site.now() + REST);
 }
@@ -93,7 +95,7 @@
             occupied = now;
         }
         view.vacant = now - occupied;
-        // A host that knows no engines yet would order nothing.
+        // A leader that knows no engines yet would order nothing.
         let knows = site.catalog().is_some() && site.listed.get();
         let acquainted = knows && now >= JOIN_DELAY + view.round;
         if duty.released.get() || acquainted && view.joins() {
@@ -107,9 +109,9 @@
     let site = &duty.site;
     let joined = site.now();
     duty.hands_over.set(false);
-    tracing::info!(target: "duty", room = site.room().0, "stands");
+    tracing::info!(target: "duty", room = site.room().0, "became a candidate");
     let mut confirmed = None;
-    // On a clock that counts suspension.
+    // This clock counts time during which the process is suspended.
     let mut renewed = clock::now();
     let mut token = Token::default();
     let mut caller = Caller::new(site.settings.load().store.addr);
@@ -129,7 +131,8 @@
         match reply {
             Ok((dealt, membership)) => {
                 if std::mem::take(&mut was_down) {
-                    tracing::info!(target: "duty", "group regained");
+                    tracing::info!(target: "duty",
+                        "membership of the candidate group confirmed again");
                 }
                 token = dealt;
                 before = site.traffic.totals();
@@ -163,7 +166,8 @@
     End::Released
 }
 
-/// Joins the group, or stays in it, as the member that was last dealt `last`.
+/// Joins the group or renews the membership. `last` is the token of the last
+/// assignment that this member received.
 async fn join(
     site: &Site,
     caller: &mut Caller,
@@ -183,8 +187,9 @@
     }
 }
 
-/// Whether a membership that was not confirmed for `lapse` was lost by this
-/// host's own fault; one that hears no other host is itself cut off.
+/// Whether a membership that was not confirmed for `lapse` was lost through this
+/// host's own fault. A host that receives no other host's heartbeats is itself
+/// cut off.
 fn loses(site: &Site, lapse: Duration) -> bool {
     site.peers.count() > 1 && view(site).rests(lapse)
 }
@@ -194,5 +199,5 @@
     let traffic = site.traffic.totals().since(before);
     let confirmed_ms = confirmed.map(|at| (site.now() - at).as_millis() as u64);
     tracing::warn!(target: "duty", why, confirmed_ms, held = duty.tenure.borrow().is_held(),
-        ?traffic, "group lost");
+        ?traffic, "membership of the candidate group not confirmed");
 }
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -1,4 +1,5 @@
-//! The upstreams as this host sees them: listed, reachable, loaded.
+//! The upstreams as this host sees them: which are listed, reachable, and how
+//! loaded they are.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,31 +17,31 @@
 use super::failure::Failure;
 use super::pool::Pool;
 
-/// How long shared parts that were just read are taken to be kept without an
-/// event: where this host reads the events, and where another passes them on.
+/// How long parts of a prefix path that were just read into an engine's cache are
+/// assumed to be cached without an event that confirms it: where this host reads
+/// the engine's events itself, and where another host forwards them.
 const ASSUMED_HELD: Duration = Duration::from_millis(400);
 const ASSUMED_HELD_RELAYED: Duration = Duration::from_millis(1_200);
 
-/// Shared parts remembered for each engine.
+/// Number of assumed parts per engine from which expired ones are dropped.
 const MAX_HELD: usize = 64;
 
-/// How long another host's report that it cannot reach an upstream counts,
-/// unless the upstream sends something.
+/// How long another host's unreachable report counts, unless the upstream sends
+/// something.
 const DOUBT_TTL: Duration = Duration::from_millis(500);
 
-/// Requests at an upstream.
+/// Outstanding requests at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests sent and not yet answered in full.
     pub running: u32,
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens sent and not yet processed.
     pub unread: u64,
-    /// Tokens those requests take in memory.
+    /// Tokens that these requests occupy in the upstream's memory.
     pub memory: u64,
 }
 
 impl Load {
-    /// The sum of both loads.
     pub fn plus(self, other: Self) -> Self {
         Self {
             running: self.running + other.running,
@@ -52,32 +53,33 @@
 
 /// One upstream.
 pub struct Upstream {
-    /// Its life.
+    /// Id and incarnation.
     pub life: Life,
-    /// Short name of its life between hosts.
+    /// Hash that identifies the incarnation in messages between hosts.
     pub key: u64,
-    /// Hash of its address: its place in the ranks.
+    /// Hash of its address, for rendezvous hashing.
     pub place: u64,
-    /// The rest of what it says of itself.
+    /// The rest of its registry entry.
     pub entry: RefCell<Entry>,
-    /// Until when it is closed for a change of weights.
+    /// Until when it gets no requests because its weights are being changed.
     pub closed: Cell<Option<Duration>>,
-    /// What this host has seen of it.
+    /// Its health as observed by this host.
     pub health: RefCell<Health>,
     /// Connections to it.
     pub pool: Pool,
     /// This host's requests there.
     pub own: Cell<Load>,
-    /// Other hosts' requests there, as they last said.
+    /// Other hosts' requests there, from their last heartbeats.
     pub others: Cell<Load>,
-    /// Until when other hosts' reports that they could not reach it count.
+    /// Until when other hosts' unreachable reports count.
     doubted: Cell<Option<Duration>>,
-    /// Parts that it keeps, according to its events.
+    /// Parts in its caches, according to its events.
     pub kept: RefCell<Holdings>,
-    /// Its events are being read.
+    /// This host is reading its events.
     pub followed: Cell<bool>,
-    /// It is being asked which weights it serves.
+    /// A request for the weights that it serves is in progress.
     pub asking: Cell<bool>,
+    /// When parts were last read into its caches, by this host's requests.
     held: RefCell<HashMap<(CacheId, PartId), Duration>>,
 }
 
@@ -106,7 +108,7 @@
         self.own.get().plus(self.others.get())
     }
 
-    /// A send to it brought no answer.
+    /// Records that a request to it got no answer.
     pub fn failed(&self, failure: &Failure, now: Duration) {
         self.health.borrow_mut().answered(false);
         if matches!(failure, Failure::Lost(..) | Failure::Silent(_)) {
@@ -114,14 +116,15 @@
         }
     }
 
-    /// It seems to be gone. Its idle connections are closed, so that a trial
-    /// begins with connecting and costs no request if it is gone.
+    /// Marks it as unreachable. Its idle connections are closed, so that the next
+    /// attempt begins with connecting and costs no request if the upstream is
+    /// gone.
     pub fn doubt(&self, now: Duration) {
         self.health.borrow_mut().unreachable(now);
         self.pool.clear();
     }
 
-    /// Another host could not reach it.
+    /// Takes in another host's report that the upstream is unreachable.
     pub fn heard_doubt(&self, now: Duration) {
         if !self.health.borrow().was_alive(now, DOUBT_TTL) && !self.is_doubted(now) {
             self.doubted.set(Some(now + DOUBT_TTL));
@@ -129,14 +132,15 @@
         }
     }
 
-    /// Whether another host's report that it could not reach it counts at
-    /// `now`: this one has not heard from the upstream since.
+    /// Whether another host's unreachable report counts at `now`: this host has
+    /// received nothing from the upstream since.
     pub fn is_doubted(&self, now: Duration) -> bool {
         self.doubted.get().is_some_and(|until| now < until)
             && !self.health.borrow().was_alive(now, DOUBT_TTL)
     }
 
-    /// Whether another host told within `span` before `now` that it doubts it.
+    /// Whether another host's unreachable report counted within `span` before
+    /// `now`.
     pub fn was_doubted(&self, now: Duration, span: Duration) -> bool {
         self.doubted.get().is_some_and(|until| now < until + span)
     }
@@ -147,7 +151,7 @@
     }
 
     /// Records its own report, just received, that it serves `version` of
-    /// `model`. That may be older than the known one: an order that arrives
+    /// `model`. This may be older than the known version: an order that arrives
     /// late, after a restart, brings back replaced weights.
     pub fn states(&self, model: &str, version: u64) {
         let mut entry = self.entry.borrow_mut();
@@ -179,18 +183,19 @@
         self.closed.get().is_some_and(|until| now < until)
     }
 
-    /// Whether `entry` is a statement of this life in its service.
+    /// Whether `entry` describes this incarnation, in the same service.
     fn is_stated_by(&self, entry: &Entry) -> bool {
         entry.life == self.life && entry.service == self.entry.borrow().service
     }
 
-    /// Whether its data centre is `dc`.
+    /// Whether it is in the data centre `dc`.
     pub fn is_in(&self, dc: &DataCentre) -> bool {
         self.entry.borrow().dc == *dc
     }
 
-    /// Leading tokens of the shared parts `shared` that it keeps in `cache`:
-    /// according to its events, or since this host has just had it read them.
+    /// Leading tokens of the prefix path `shared` that are in `cache`: according
+    /// to its events, or because this host has just sent it a prompt that begins
+    /// with them.
     pub fn held(&self, cache: CacheId, shared: &[Part], now: Duration) -> u64 {
         let span = self.held_span();
         let known = self.held.borrow();
@@ -198,8 +203,8 @@
         self.kept.borrow().held_or(cache, shared, read)
     }
 
-    /// A prompt with the shared parts `shared` was read there into `cache` at
-    /// `now`.
+    /// Records that a prompt with the prefix path `shared` was read into `cache`
+    /// at `now`.
     pub fn hold(&self, cache: CacheId, shared: &[Part], now: Duration) {
         let span = self.held_span();
         let mut held = self.held.borrow_mut();
@@ -217,7 +222,7 @@
     }
 }
 
-/// A request at an upstream, counted until dropped.
+/// A request at an upstream. It counts towards the load until dropped.
 pub struct Flight {
     upstream: Rc<Upstream>,
     load: Load,
@@ -233,7 +238,7 @@
         Self { upstream, load, waits: true }
     }
 
-    /// The prompt has been read, or the answer has begun.
+    /// Records that the prompt has been processed, or that the answer has begun.
     pub fn read(&mut self) {
         let unread = std::mem::take(&mut self.load.unread);
         let own = self.upstream.own.get();
@@ -256,7 +261,7 @@
     }
 }
 
-/// All upstreams, by id and by service: the newest life of each.
+/// All upstreams by id and by service, each in its newest incarnation.
 #[derive(Default)]
 pub struct Fleet {
     all: RefCell<HashMap<UpstreamId, Rc<Upstream>>>,
@@ -264,9 +269,9 @@
 }
 
 impl Fleet {
-    /// Adds or updates an upstream. One that has started again replaces its
-    /// former life, of which nothing is kept; so does a statement
-    /// for another service, which may be of another writer.
+    /// Adds or updates an upstream. A restarted upstream replaces its former
+    /// incarnation, of which nothing is kept. So does an entry for another
+    /// service, which may come from another writer.
     pub fn enter(&self, entry: &Entry) {
         let known = self.all.borrow().get(&entry.life.id).cloned();
         match known {
@@ -294,7 +299,7 @@
         }
     }
 
-    /// Removes one life of an upstream and closes its idle connections.
+    /// Removes one incarnation of an upstream and closes its idle connections.
     pub fn remove(&self, life: &Life) {
         if let Some(upstream) = self.get(life) {
             self.all.borrow_mut().remove(&life.id);
@@ -305,7 +310,7 @@
         }
     }
 
-    /// Removes the upstream `id`, whichever of its lives is known.
+    /// Removes the upstream `id` in whichever incarnation is known.
     pub fn remove_id(&self, id: &UpstreamId) {
         let known = self.all.borrow().get(id).cloned();
         if let Some(upstream) = known {
@@ -318,12 +323,11 @@
         self.services.borrow().get(service).cloned().unwrap_or_default()
     }
 
-    /// The upstream in this life, unless it has ended.
+    /// The upstream in this incarnation, unless that has ended.
     pub fn get(&self, life: &Life) -> Option<Rc<Upstream>> {
         self.all.borrow().get(&life.id).filter(|u| u.life == *life).cloned()
     }
 
-    /// All upstreams.
     pub fn all(&self) -> Vec<Rc<Upstream>> {
         self.all.borrow().values().cloned().collect()
     }
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -1,5 +1,6 @@
-//! Following the platform's store: the operators' records, the upstreams'
-//! entries and the hosts' records, each in a file that says how it is read.
+//! Reads the topics of the platform's store: the operators' records, the
+//! upstreams' entries and the hosts' records. Each has a file that says how it is
+//! read.
 
 mod hosts;
 mod operators;
@@ -23,18 +24,20 @@
 use upstreams::Upstreams;
 pub use upstreams::upstream_changed;
 
-/// How long a host waits for its own record to be written before it first
-/// reads the others': of two hosts that start at once, one then finds the other.
+/// How long a host waits for its own record to be written before it first reads
+/// the others': of two hosts that start at the same time, at least one then finds
+/// the other.
 const REGISTER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a host that starts waits for the hosts' records before it takes
-/// callers: a store that answers at all does so within this time.
+/// How long a starting host waits for the hosts' records before it takes callers;
+/// a store that is available answers within this time.
 const RECALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the store is asked to wait for a record.
+/// Long-poll time: how long the store is asked to wait for a new record.
 const WAIT: Duration = Duration::from_secs(25);
 
-/// Where to read on, in the era to which the offset belongs.
+/// The offset at which to continue reading, and the era of the store to which it
+/// belongs.
 #[derive(Debug, Clone, Copy)]
 struct Offset {
     era: Era,
@@ -42,38 +45,41 @@
 }
 
 impl Offset {
-    /// Whether the store has not returned from a copy since.
+    /// Whether the offset is still valid: the store has not been restored from a
+    /// copy since.
     fn holds(&self, site: &Site) -> bool {
         site.era.get() == Some(self.era)
     }
 }
 
-/// Offsets that a host has read, and when it asked for them.
+/// A range of offsets that a host has read, and when it sent the request.
 #[derive(Debug, Clone, Copy)]
 struct Read {
     span: Span,
     asked: Duration,
 }
 
-/// What a topic's records are taken into.
+/// Processes the records of one topic.
 trait Sink {
-    /// The topic.
     const TOPIC: &'static str;
 
-    /// How long to pause between two reads; `None` if the store is asked to
-    /// wait for records.
+    /// How long to pause between two reads; `None` if the store is asked to wait
+    /// for new records instead.
     fn pause(site: &Site) -> Option<Duration>;
 
-    /// Takes in one record; one that was listed has no offset.
+    /// Processes one record. One that comes from a listing of all keys has no
+    /// offset.
     fn record(&mut self, site: &Site, record: &Record, offset: Option<u64>);
 
-    /// The records just taken in are all there are.
+    /// Called at the end of a listing: `keys` are all keys of the topic.
     fn complete(&mut self, _site: &Rc<Site>, _keys: &[String]) {}
 
-    /// A call is done; the records of `read`, if any, have been taken in.
+    /// Called after each request to the store; the records of `read`, if any,
+    /// have been processed.
     fn done(&mut self, _site: &Rc<Site>, _read: Option<Read>) {}
 
-    /// Rests after `read`; where to read on.
+    /// Waits after `read` until the next one is due; returns the offset at which
+    /// to continue.
     async fn rest(&mut self, site: &Rc<Site>, read: Read) -> u64 {
         if let Some(pause) = Self::pause(site) {
             tokio::time::sleep(pause).await;
@@ -81,17 +87,18 @@
         read.span.next
     }
 
-    /// Longest random wait before the records are listed in a new era of the
-    /// store, where many hosts would list them at once.
+    /// Upper limit of a random delay before the records are listed in a new era
+    /// of the store, so that many hosts do not list them at once.
     fn spread(_site: &Site) -> Duration {
         Duration::ZERO
     }
 
-    /// The store answers again after it did not, or returned from a copy.
+    /// Called when the store answers again after a failure, or was restored from
+    /// a copy.
     fn returned(&mut self, _site: &Site) {}
 }
 
-/// Follows a topic for as long as the process runs.
+/// Reads a topic for as long as the process runs.
 async fn follow<S: Sink>(site: Rc<Site>, mut sink: S) {
     let mut caller = Caller::new(site.settings.load().store.addr);
     let mut link = Link::new(S::TOPIC);
@@ -103,8 +110,8 @@
             None => list(&site, &mut caller, &mut sink, from).await,
             Some(at) => tokio::select! {
                 read = read(&site, &mut caller, &mut sink, at) => read,
-                // A call that was waiting while the store was away, or at
-                // its old address, may never be answered: ask again.
+                // A call that was waiting when the store became unavailable or
+                // changed its address may never be answered, so it is sent again.
                 () = site.regained.notified() => {
                     caller = Caller::new(site.settings.load().store.addr);
                     continue;
@@ -130,7 +137,8 @@
                 sink.done(&site, read);
                 from = match read {
                     Some(read) => Some(rest(&site, &mut sink, read).await),
-                    // Outdated, or the records are gone.
+                    // The era is outdated, or the records at this offset have
+                    // been deleted.
                     None => from.filter(|from| !from.holds(&site)),
                 };
             }
@@ -145,8 +153,8 @@
     }
 }
 
-/// Rests after `read`, until the store is known to have returned from a copy;
-/// where to read on.
+/// Waits until the next read is due or a newer era of the store is known; returns
+/// where to continue.
 async fn rest<S: Sink>(site: &Rc<Site>, sink: &mut S, read: Read) -> Offset {
     let Span { era, next, .. } = read.span;
     let at = tokio::select! {
@@ -159,7 +167,7 @@
     Offset { era, at }
 }
 
-/// Waits until an era after `era` is known.
+/// Waits until an era newer than `era` is known.
 async fn outdated(site: &Site, era: Era) {
     loop {
         let told = site.regained.notified();
@@ -170,8 +178,9 @@
     }
 }
 
-/// Reads the newest record of each key; where to read on, `None` to list
-/// again. `last` is where the records were read up to before.
+/// Lists the newest record of each key. Returns where to continue reading, or
+/// `None` if the records must be listed again. `last` is the offset up to which
+/// they had been read before.
 async fn list<S: Sink>(
     site: &Rc<Site>,
     caller: &mut Caller,
@@ -189,7 +198,8 @@
         }
         let page = store::parse_newest(&reply.body).map_err(|e| e.to_string())?;
         note_strange(S::TOPIC, &page.strange);
-        // Pages are no snapshot: what changed since the first is read again.
+        // The pages of a listing are no consistent snapshot, so reading continues
+        // at the end offset of the first page.
         let first = end.is_none();
         let from = *end.get_or_insert(Offset { era: reply.era, at: page.end });
         if from.era != reply.era {
@@ -212,7 +222,8 @@
     }
 }
 
-/// Reads records from `from` on; where to read on, `None` to list again.
+/// Reads records starting at `from`. Returns where to continue, or `None` if the
+/// records must be listed again.
 async fn read<S: Sink>(
     site: &Site,
     caller: &mut Caller,
@@ -223,7 +234,8 @@
     let Offset { era, at } = from;
     let reply = call(site, caller, &store::read(S::TOPIC, at, wait), wait + ANSWER).await?;
     match reply.status {
-        // Offsets were given out again: what it reads is not what follows.
+        // The store was restored and has assigned these offsets anew, so the
+        // records read may not follow the earlier ones.
         _ if reply.era != era => Ok(None),
         200 => {
             let page = store::page(at, &reply.body).map_err(|e| e.to_string())?;
@@ -232,21 +244,22 @@
             Ok(Some(Offset { era, at: page.next }))
         }
         410 => {
-            tracing::info!(target: "store", topic = S::TOPIC, from = at, "records gone, listing anew");
+            tracing::info!(target: "store", topic = S::TOPIC, from = at,
+                "records at this offset were deleted; listing all keys again");
             Ok(None)
         }
         status => Err(format!("read of {} from {at}: status {status}", S::TOPIC)),
     }
 }
 
-/// Logs records that cannot be read as such; they are passed over.
+/// Logs records that could not be parsed; they are skipped.
 fn note_strange(topic: &str, strange: &[String]) {
     for why in strange {
-        tracing::error!(target: "store", topic, why, "record not understood, passed over");
+        tracing::error!(target: "store", topic, why, "cannot parse record; skipped");
     }
 }
 
-/// Starts following the store.
+/// Starts reading the store.
 pub fn start(site: &Rc<Site>) {
     ntex::rt::spawn(recall(site.clone()));
     ntex::rt::spawn(follow(site.clone(), Operators::default()));
@@ -255,13 +268,15 @@
     let registered = ntex::rt::spawn(hosts::register(site.clone(), written.clone()));
     let site = site.clone();
     ntex::rt::spawn(async move {
-        // Not written in time, it is written later; the others are read now.
+        // If the host's own record is not written in time, writing goes on in the
+        // background.
         let _ = tokio::time::timeout(REGISTER_TIMEOUT, registered).await;
         follow(site, Hosts::new(written)).await;
     });
 }
 
-/// Callers wait no longer than this for what other hosts have written down.
+/// Lets the host take callers after `RECALL_TIMEOUT`, also if the hosts' records
+/// have not been read by then.
 async fn recall(site: Rc<Site>) {
     tokio::time::sleep(RECALL_TIMEOUT).await;
     site.recalled.set(true);
--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -1,11 +1,12 @@
-//! The hosts' records, which name the first hosts to greet, and beside them the
-//! requests that no host sends any more. Hosts learn of each
-//! other from their greetings; waiting for the records had every start of one
-//! host read by all others, half of all calls on days with many restarts.
+//! The hosts' records, which name the first hosts to send heartbeats to, and the
+//! quarantine records (requests that no host sends any more) in the same topic.
+//! Hosts learn of each other from heartbeats. Long-polling these records would
+//! make all hosts read every start of one host, which was half of all calls on
+//! days with many restarts.
 //!
-//! A store that returned from a copy may lack records. A host writes its own
-//! again when a list shows that it is not there, and a few hosts the requests
-//! that are missing; nothing is written that the copy has.
+//! A store that was restored from a copy may lack records. A host writes its own
+//! record again when a listing shows that it is missing, and a few hosts do so
+//! for missing quarantine records. Nothing is written that the copy still has.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -21,34 +22,37 @@
 use crate::proxy::site::Site;
 use crate::proxy::storelink::{Listed, write};
 
-/// Time between reads of the hosts' records; longer the more hosts there are,
-/// any of which tells the others of one that it finds.
+/// Time between reads of the hosts' records, multiplied by a factor that grows
+/// with the number of hosts, since any host that finds a new one makes it known
+/// to the others.
 const HOSTS_POLL: Duration = Duration::from_secs(5);
 
-/// Longest wait before a host lists them again after the store's return from
-/// a copy; longer the more hosts there are, which would all list them at once.
+/// Longest random delay before a host lists the records again after the store was
+/// restored from a copy. It grows with the number of hosts, which would otherwise
+/// all list them at once.
 const RELIST: Duration = Duration::from_millis(250);
 
-/// The hosts' records.
 pub(super) struct Hosts {
-    /// What the list that is being read has shown so far.
+    /// Records seen so far in the listing in progress.
     listed: Listed,
-    /// This host's record has been written, and is not being written.
+    /// Whether this host's record is in the store, with no write in progress.
     written: Rc<Cell<bool>>,
 }
 
 impl Hosts {
-    /// Nothing read yet; `written` is set once this host's record is.
+    /// `written` is set once this host's record has been written.
     pub(super) fn new(written: Rc<Cell<bool>>) -> Self {
         Self { listed: HashMap::new(), written }
     }
 
-    /// Writes what this host has in the store again where a whole list lacks it.
+    /// After a complete listing, writes those of this host's records again that
+    /// it lacks.
     fn restore(&self, site: &Rc<Site>, listed: &Listed) {
         let (key, own) = own_record(site);
         let lacks = listed.get(&key) != Some(&own);
         if lacks && self.written.get() && site.stopping.get().is_none() {
-            tracing::warn!(target: "store", "own record is gone, written again");
+            tracing::warn!(target: "store",
+                "own host record is missing in the store; writing it again");
             ntex::rt::spawn(register(site.clone(), self.written.clone()));
         }
         poison::restore_records(site, listed);
@@ -87,21 +91,24 @@
             None => site.peers.list(&record.key, None),
             Some(Ok(host)) => site.peers.list(&record.key, Some(host)),
             Some(Err(error)) => {
-                tracing::debug!(target: "peers", key = record.key, %error, "record of no host");
+                tracing::debug!(target: "peers", key = record.key, %error,
+                    "record is not a valid host record");
             }
         }
     }
 
     fn complete(&mut self, site: &Rc<Site>, keys: &[String]) {
         site.recalled.set(true);
-        // A list that broke off before may have shown more.
+        // An earlier listing that was interrupted may have added keys that are
+        // gone by now.
         let mut listed = std::mem::take(&mut self.listed);
         listed.retain(|key, _| keys.contains(key));
         self.restore(site, &listed);
     }
 }
 
-/// Writes this host's record until the store has it; `written` tells that.
+/// Writes this host's record, retrying until the store has it; then sets
+/// `written`.
 pub(super) async fn register(site: Rc<Site>, written: Rc<Cell<bool>>) {
     written.set(false);
     let (key, value) = own_record(&site);
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' records: the configuration and the weights named. Both change
-//! seldom and are waited for.
+//! The operators' records: the configuration and the announced weights versions.
+//! Both change rarely, so the store is asked to wait for new ones.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use super::Sink;
 use crate::proxy::site::Site;
 
-/// The operators' records.
 #[derive(Default)]
 pub(super) struct Operators {
-    /// They have been listed once: what comes now is new.
+    /// The records have been listed once, so those that are read from now on are
+    /// new.
     listed: bool,
 }
 
@@ -36,7 +36,7 @@
                 name_weights(site, &named.model, named.version, self.listed, "store")
             }
             Some(Err(error)) => {
-                tracing::error!(target: "config", key = record.key, %error, "record not understood");
+                tracing::error!(target: "config", key = record.key, %error, "cannot parse record");
             }
             None => {}
         }
@@ -52,16 +52,19 @@
         Ok(new) => put_in_force(site, new, "store"),
         Err(error) => {
             let kept = site.catalog.load().as_ref().map(|c| c.version);
-            tracing::error!(target: "config", %error, kept, "configuration not understood");
+            tracing::error!(target: "config", %error, kept,
+                "cannot parse configuration; keeping the one in force");
         }
     }
 }
 
-/// Puts a configuration learnt from `source` in force, unless one as new is.
+/// Puts a configuration received from `source` in force, unless the current one
+/// is at least as new.
 pub fn put_in_force(site: &Site, new: Catalog, source: &str) {
     let known = site.catalog.load().as_ref().map(|c| c.version);
     if known.is_some_and(|known| new.version <= known) {
-        tracing::debug!(target: "config", version = new.version, known, "older configuration left");
+        tracing::debug!(target: "config", version = new.version, known,
+            "ignoring a configuration that is not newer");
         return;
     }
     tracing::info!(target: "config", version = new.version, before = known, source,
@@ -69,8 +72,8 @@
     site.catalog.store(Some(Arc::new(new)));
 }
 
-/// Takes in that weights are named; `fresh` when it was just now, not before
-/// this process started.
+/// Takes in an announced weights version. `fresh` is set if it was announced just
+/// now, not before this process started.
 pub fn name_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
     let mut all = site.named.borrow_mut();
     let named = all.entry(model.to_string()).or_default();
@@ -79,7 +82,7 @@
         false => named.found(version, site.now()),
     };
     if news {
-        tracing::info!(target: "weights", model, version, source, "weights named");
+        tracing::info!(target: "weights", model, version, source, "new weights version announced");
         site.duty.notify_one();
     }
 }
--- a/crates/router/src/proxy/follow/relay.rs
+++ b/crates/router/src/proxy/follow/relay.rs
@@ -1,14 +1,15 @@
-//! The registry read by a few hosts for all.
+//! Lets a few hosts read the upstream registry for all hosts.
 //!
-//! Load pattern: hundreds of hosts that each read all upstreams' statements,
-//! every second or so, though hardly any of them says anything new; on 295
-//! hosts these reads cost more than anything else the platform bills but
-//! reading prompts again. So the few that rank first by hashing read them and
-//! tell the others what was news, and up to which offset they have read.
+//! Load pattern: with hundreds of hosts, each would read all upstreams' entries
+//! about every second, though hardly any of them changes. With 295 hosts, these
+//! reads cost more than anything else that the platform bills, except for reading
+//! prompts again. So a few hosts, those with the most capacity, read the entries
+//! and send the others the changes and the offset up to which they have read.
 //!
-//! Limits: a host that has not heard for the time between two reads, or has
-//! missed a part, reads for itself, so nobody's view is older than if each did
-//! so; while the store is away nobody hears, and each host finds out by itself.
+//! Limits: a host that receives no update within the normal interval between two
+//! reads, or that misses a part, reads for itself, so its data is never older
+//! than if every host read. While the store is unavailable no updates are sent,
+//! and each host finds out by itself.
 
 use std::rc::Rc;
 
@@ -20,27 +21,27 @@
 use crate::proxy::relays::{News, Relay};
 use crate::proxy::site::Site;
 
-/// Hosts that read for all, those with the most room: two of them may be down
+/// Hosts that read for all, those with the most capacity. Two of them may be down
 /// or slow.
 const READERS: usize = 3;
 
-/// Most news told at once, so that they fit into a datagram; who misses more
-/// reads for itself.
+/// Most changes sent in one message, so that they fit into a datagram. Hosts that
+/// miss more read for themselves.
 const MAX_NEWS: usize = 80;
 
 /// A host's part in reading the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// All hosts read, each for itself: there are few.
+    /// Each host reads for itself, as there are few hosts.
     Alone,
-    /// It reads for all.
+    /// It reads for all hosts.
     Reader,
-    /// It hears from those that read.
+    /// It receives the updates of the readers.
     Listener,
 }
 
 impl Role {
-    /// The part of this host.
+    /// The role of this host.
     pub fn of(site: &Site) -> Self {
         match site.peers.count() {
             hosts if hosts <= FRESH_HOSTS => Self::Alone,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Tells the other hosts what this one has read, if it reads for them.
+/// Sends the other hosts what this one has read, if it is a reader.
 pub fn tell(site: &Rc<Site>, read: Read, news: News) {
     let (span, news) = site.relays.add(read.span, news);
     if Role::of(site) != Role::Reader {
@@ -61,8 +62,8 @@
         return;
     }
     let weights = site.relays.next_weights();
-    // A host that is suspended before it has told all of them tells the rest
-    // how old it is by then.
+    // The age is computed when each datagram is sent: if the process is suspended
+    // in between, the remaining hosts still get the true age of the data.
     let asked = clock::now().saturating_sub(site.now().saturating_sub(read.asked));
     site.peers.spread(1, move || {
         let age = clock::now().saturating_sub(asked).as_millis() as u64;
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -1,6 +1,7 @@
-//! The upstreams' entries. Upstreams write all the time, and are read twice
-//! within the time in which a leaving one must get no more work: by every host,
-//! or, where there are many, by a few that tell the others.
+//! The upstreams' registry entries. Upstreams write them all the time. They are
+//! read at least twice within the time in which a leaving upstream must stop
+//! getting work: by every host, or, where there are many hosts, by a few that
+//! forward the changes to the others.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,26 +18,26 @@
 use crate::proxy::relays::{News, Relay, Statement};
 use crate::proxy::site::Site;
 
-/// Part of the bound on leaving upstreams that passes between two reads of
-/// their entries: a read may take as long again as that leaves.
+/// Share of the bound on leaving upstreams that passes between two reads of their
+/// entries. What this leaves of the bound is the time that a read may take.
 const POLL_SHARE: f64 = 0.45;
 
-/// The same for those that read for all: the others hear in time before they
-/// would read for themselves, also if these all read at the same moment.
+/// The same for hosts that read for all: the others then receive updates before
+/// they would read for themselves, even if all readers read at the same moment.
 const READER_SHARE: f64 = 0.3;
 
-/// What a record meant to this host.
+/// What a record changed for this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Meaning {
-    /// Nothing.
+    /// Nothing changed.
     Known,
-    /// An upstream changed its weights alone.
+    /// Only an upstream's weights changed.
     Weights,
     /// Something else changed.
     News,
 }
 
-/// Takes in at this host what a record says.
+/// Applies a record to this host's registry.
 fn apply(statement: &Statement, site: &Site) -> Meaning {
     let (id, now) = (statement.id(), site.now());
     let missing = site.registry.borrow().is_missing(id);
@@ -47,7 +48,8 @@
     };
     upstream_changed(site, id, &change);
     match change {
-        // One that comes back unchanged is news to those that miss it too.
+        // An upstream that reappears unchanged is a change for other hosts that
+        // list it as missing, too.
         _ if missing => Meaning::News,
         Change::None => Meaning::Known,
         Change::Weights => Meaning::Weights,
@@ -55,7 +57,8 @@
     }
 }
 
-/// Takes in at this host that the upstream `id` changed as `change` says.
+/// Updates this host's upstreams after `change` to the upstream `id` in the
+/// registry.
 pub fn upstream_changed(site: &Site, id: &UpstreamId, change: &Change) {
     match change {
         Change::None => return,
@@ -63,32 +66,33 @@
             if let Some(entry) = site.registry.borrow().get(id) {
                 site.fleet.enter(entry);
                 tracing::info!(target: "registry", upstream = %entry.life, ?change, beat = entry.beat,
-                    leaving = entry.leaving, service = entry.service, "upstream stated");
+                    leaving = entry.leaving, service = entry.service, "upstream entry changed");
             }
         }
         Change::Left => {
             site.fleet.remove_id(id);
-            tracing::info!(target: "registry", upstream = %id, "upstream left");
+            tracing::info!(target: "registry", upstream = %id, "upstream removed");
         }
         Change::Missing => {
-            tracing::info!(target: "registry", upstream = %id, "upstream missing, kept for now");
+            tracing::info!(target: "registry", upstream = %id,
+                "upstream missing in the store; kept for now");
         }
     }
     site.duty.notify_one();
 }
 
-/// The upstreams' entries.
+/// Processes the upstreams' entries.
 #[derive(Default)]
 pub(super) struct Upstreams {
-    /// Hash of the last record of each key that names no upstream: it is
-    /// logged once, not at each read.
+    /// Hash of the last invalid record of each key, so that it is logged once and
+    /// not at each read.
     strange: HashMap<UpstreamId, u64>,
-    /// What was news in the records just read, with their offsets.
+    /// Changes in the records just read, with their offsets.
     news: News,
 }
 
 impl Upstreams {
-    /// What `record` says; one that cannot be understood is logged once.
+    /// Parses `record`; an invalid one is logged once.
     fn parse(&mut self, record: &Record) -> Statement {
         let id = UpstreamId(record.key.clone());
         let Some(value) = &record.value else { return Statement::Gone(id) };
@@ -101,14 +105,14 @@
                 let hash = xxh3_64(value);
                 if self.strange.insert(id.clone(), hash) != Some(hash) {
                     tracing::error!(target: "registry", upstream = %id, %error,
-                        "entry not understood, no upstream by it");
+                        "cannot parse registry entry; it adds no upstream");
                 }
                 Statement::Foreign(id)
             }
         }
     }
 
-    /// Takes in what another host tells of a span of records.
+    /// Applies the changes from offset `after` on that another host has read.
     fn hear(&self, site: &Site, relay: &Relay, after: u64) {
         for (_, statement) in relay.news.iter().filter(|(offset, _)| *offset >= after) {
             apply(statement, site);
@@ -117,8 +121,8 @@
     }
 }
 
-/// Removes upstreams that have been missing for too long, and connections that
-/// have been idle so.
+/// Removes upstreams that have been missing for too long, and closes connections
+/// that have been idle for too long.
 fn expire(site: &Site) {
     let gone = site.registry.borrow_mut().expire(site.now());
     for id in gone {
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -1,8 +1,9 @@
-//! The other hosts as this one knows them: who takes callers, how much each has
-//! sent to which upstream, how each stands to the duty of ordering weights.
+//! The other hosts as this one knows them from heartbeats: which take callers,
+//! how many requests each has at which upstream, and whether each is a candidate
+//! for leadership of weights rollouts.
 //!
-//! A host that starts finds the others by the records they keep in the
-//! platform's store; they learn of it when it greets them.
+//! A starting host finds the others by the records that they keep in the
+//! platform's store; they learn of it from its heartbeats.
 
 mod delivery;
 mod message;
@@ -26,24 +27,26 @@
 use super::traffic::Traffic;
 pub use message::{Extent, Hello, HostRecord, Message, Notice};
 
-/// Time between greetings to the same few peers.
+/// Time between two rounds of heartbeats, each to the next few peers.
 pub const PERIOD: Duration = Duration::from_millis(100);
 
-/// Peers greeted at once; with more, they are greeted in turn.
+/// Number of peers that get a heartbeat at once. If there are more, they take
+/// turns.
 pub const FANOUT: usize = place::FRESH_HOSTS - 1;
 
-/// How long a peer may be silent before it is taken to be gone, and how many
-/// greetings it may miss where there are many hosts: more than one in forty is
-/// seldom lost.
+/// How long a peer may be silent before it counts as gone, and, where there are
+/// many hosts, how many of its heartbeats may be missed: rarely is more than one
+/// in forty lost.
 const SILENCE: Duration = Duration::from_millis(1_225);
 const MAX_MISSES: u32 = 3;
 
-/// Greetings missed before another life of a peer is believed: a late one of
-/// a process that has ended comes while the new one greets.
+/// Heartbeats that must be missed before another incarnation of a peer is
+/// accepted: a late datagram of a process that has ended arrives while the new
+/// process sends heartbeats.
 const QUIET: u32 = 2;
 
-/// Times as long after which a silent host's work is another's: one that only
-/// starts again is back before.
+/// Multiple of the allowed silence after which other hosts take over a silent
+/// host's work. A host that merely restarts is back before.
 const GONE: u32 = 2;
 
 #[derive(Debug, Clone)]
@@ -58,15 +61,13 @@
     loads: Vec<(u64, Load)>,
 }
 
-/// The other hosts.
 pub struct Peers {
-    /// This host's name.
     pub name: String,
-    /// What this host keeps of itself.
+    /// This host's own record.
     pub record: HostRecord,
     known: RefCell<HashMap<String, Peer>>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// The time, as of the last greeting.
+    /// The time of the last heartbeat round.
     pub now: Cell<Duration>,
     turn: Cell<usize>,
     traffic: Rc<Traffic>,
@@ -74,7 +75,7 @@
 }
 
 impl Peers {
-    /// No host known yet.
+    /// Starts without any known host.
     pub fn new(settings: &HostSettings, traffic: Rc<Traffic>) -> Self {
         let record = HostRecord {
             callers: settings.callers,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes in the record that the host `name` keeps of itself.
+    /// Takes in the store record of the host `name`, or its deletion.
     pub fn list(&self, name: &str, record: Option<HostRecord>) {
         match record {
             None => drop(self.known.borrow_mut().remove(name)),
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Enters a host's record, learnt from `source`, unless another life of
-    /// that host is being heard.
+    /// Adds a host's record received from `source`, unless another incarnation of
+    /// that host is still sending heartbeats.
     fn enter(&self, name: &str, record: HostRecord, source: &str) {
         let (now, quiet) = (self.now.get(), self.round() * QUIET);
         let mut known = self.known.borrow_mut();
@@ -110,7 +111,8 @@
             _ if name == self.name => {}
             Some(peer) if peer.record == record || peer.is_heard(now, quiet) => {}
             _ => {
-                tracing::info!(target: "peers", host = name, addr = %record.peers, source, "host entered");
+                tracing::info!(target: "peers", host = name, addr = %record.peers, source,
+                    "host added");
                 let peer = Peer {
                     record,
                     entered: now,
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Hosts there are, this one included.
+    /// Number of known hosts, including this one.
     pub fn count(&self) -> usize {
         self.known.borrow().len() + 1
     }
 
-    /// How the other hosts that take callers stand to the duty.
+    /// The candidate status and rank of the other hosts that take callers.
     pub fn others(&self) -> Vec<Other> {
         let (now, patience) = (self.now.get(), self.patience());
         let known = self.known.borrow();
@@ -144,8 +146,8 @@
         others.map(other).collect()
     }
 
-    /// How long ago at `now` the other hosts last saw a store error, and
-    /// how many others are heard.
+    /// How long ago at `now` the other hosts last had a store error, and the
+    /// number of other hosts whose heartbeats are received.
     pub fn store_errors(&self, now: Duration) -> (Vec<Duration>, usize) {
         let (patience, known) = (self.patience(), self.known.borrow());
         let heard = known.values().filter(|p| p.is_heard(now, patience));
@@ -153,8 +155,8 @@
         (ages.collect(), heard.count())
     }
 
-    /// Whether this host, with `room`, is among the `count` with the most of all
-    /// that are heard.
+    /// Whether this host, with capacity `room`, is among the `count` hosts with
+    /// the most capacity, of those whose heartbeats are received.
     pub fn has_most_room(&self, room: Room, count: usize) -> bool {
         let (now, patience) = (self.now.get(), self.patience());
         let own = (room, xxh3_64(self.name.as_bytes()));
@@ -163,18 +165,18 @@
         heard.filter(|(name, p)| (p.room, xxh3_64(name.as_bytes())) > own).count() < count
     }
 
-    /// Whether this host is among the first `count` by rank for `key` of all
-    /// that have not been gone for long.
+    /// Whether this host is among the first `count` by rendezvous hashing of
+    /// `key`, of all hosts that have not been gone for long.
     pub fn ranks_within(&self, key: u64, count: usize) -> bool {
         self.above(key).len() < count
     }
 
-    /// The other hosts among the first `count` by rank for `key`.
+    /// The other hosts among the first `count` by rendezvous hashing of `key`.
     pub fn first_ranked(&self, key: u64, count: usize) -> Vec<SocketAddr> {
         let above = self.above(key).len();
         let mut ranked = self.ranked(key);
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-        // This host takes a place of them if it ranks so high.
+        // This host takes one of these places if it ranks high enough.
         let others = count - usize::from(above < count);
         ranked.into_iter().take(others).map(|(_, addr)| addr).collect()
     }
@@ -198,8 +200,9 @@
             .collect()
     }
 
-    /// The `count` hosts with the most room for `group` of those that are heard
-    /// and take callers, this one (`None`) among them if it is `open`.
+    /// The `count` hosts with the most capacity for `group`, of those that send
+    /// heartbeats and take callers. This host is `None` in the result; it takes
+    /// part with the capacity `own`, if given.
     pub fn roomiest(&self, group: u64, count: usize, own: Option<Room>) -> Vec<Option<SocketAddr>> {
         let (now, patience) = (self.now.get(), self.patience());
         let rank = |name: &str, room| (room, place::rank(group, xxh3_64(name.as_bytes())));
@@ -212,8 +215,8 @@
         ranked.into_iter().take(count).map(|(_, addr)| addr).collect()
     }
 
-    /// The hosts for the accounts: how many are heard, and which are silent for
-    /// less than `span`.
+    /// The hosts as the quota accounts need them: how many send heartbeats, and
+    /// which have been silent for less than `span`.
     pub fn reach(&self, span: Duration) -> Hosts {
         let (now, patience) = (self.now.get(), self.patience());
         let known = self.known.borrow();
@@ -223,7 +226,7 @@
         Hosts { heard, silent: silent.map(|(name, _)| xxh3_64(name.as_bytes())).collect() }
     }
 
-    /// Where the other hosts that take callers do so.
+    /// Addresses at which the other hosts take callers, of those that do.
     pub fn open(&self) -> Vec<SocketAddr> {
         let (now, patience) = (self.now.get(), self.patience());
         let known = self.known.borrow();
@@ -231,17 +234,17 @@
         open.map(|p| p.record.callers).collect()
     }
 
-    /// Time in which all peers are greeted once.
+    /// Time in which every peer gets one heartbeat.
     pub fn round(&self) -> Duration {
         PERIOD * self.known.borrow().len().div_ceil(FANOUT).max(1) as u32
     }
 
-    /// How long a host may be silent.
+    /// How long a host may be silent before it counts as gone.
     fn patience(&self) -> Duration {
         SILENCE.max(self.round() * MAX_MISSES)
     }
 
-    /// Takes in a greeting heard at `now`.
+    /// Takes in a heartbeat received at `now`.
     pub fn hear(&self, hello: Hello, now: Duration) {
         self.enter(&hello.name, hello.record.clone(), "greeting");
         let mut known = self.known.borrow_mut();
@@ -250,7 +253,8 @@
             return;
         }
         if peer.open != hello.open || peer.heard.is_none() {
-            tracing::info!(target: "peers", host = hello.name, open = hello.open, "host heard");
+            tracing::info!(target: "peers", host = hello.name, open = hello.open,
+                "first heartbeat of host, or its readiness changed");
         }
         peer.heard = Some(now);
         peer.open = hello.open;
@@ -261,7 +265,7 @@
         peer.loads = hello.loads;
     }
 
-    /// What the others have at each upstream, by key.
+    /// Sum of the other hosts' requests at each upstream, by the upstream's key.
     pub fn loads(&self) -> HashMap<u64, Load> {
         let (now, patience) = (self.now.get(), self.patience());
         let mut sums: HashMap<u64, Load> = HashMap::new();
@@ -290,12 +294,12 @@
         known.iter().map(state).collect()
     }
 
-    /// Greetings and messages leave by `socket` from now on.
+    /// Sets the socket from which heartbeats and messages are sent.
     pub fn open_socket(&self, socket: Rc<UdpSocket>) {
         *self.socket.borrow_mut() = Some(socket);
     }
 
-    /// The next hosts to be greeted, in turn.
+    /// The next hosts to get a heartbeat, in turn.
     fn targets(&self, count: usize) -> Vec<SocketAddr> {
         let known = self.known.borrow();
         let mut names: Vec<(&String, SocketAddr)> =
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -1,5 +1,5 @@
-//! How datagrams leave for other hosts: to each of a few, or to all through
-//! some that pass them on.
+//! Sends datagrams to other hosts: directly to a few, or to all through some
+//! hosts that forward them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,33 +12,35 @@
 use super::{FANOUT, GONE, Hello, Peer, Peers, SILENCE};
 use crate::proxy::traffic::Traffic;
 
-/// Hosts told the same at once, and the shortest pause before the next few.
+/// Hosts that are sent a message at once, and the shortest pause before the next
+/// chunk.
 const CHUNK: usize = 16;
 const CHUNK_PAUSE: Duration = Duration::from_millis(2);
 
-/// What a message to all hosts took of the link.
+/// What a message to all hosts used of the link.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Burst {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: usize,
-    /// Bytes of the largest.
+    /// Size of the largest datagram.
     pub bytes: usize,
 }
 
 impl Peers {
-    /// Sends the next few hosts a greeting.
+    /// Sends a heartbeat to the next few hosts.
     pub fn greet(&self, hello: Hello) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         send(&socket, &self.traffic, &Message::Hello(Box::new(hello)), &self.targets(FANOUT));
     }
 
-    /// Sends the host at `addr` `message`.
+    /// Sends `message` to the host at `addr`.
     pub fn send_to(&self, addr: SocketAddr, message: &Message) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         send(&socket, &self.traffic, message, &[addr]);
     }
 
-    /// Sends all hosts `message`, through a few of them where there are many.
+    /// Sends `message` to all hosts. Where there are many, a few of them forward
+    /// it.
     pub fn broadcast(&self, message: &Message) -> Burst {
         let Some(socket) = self.socket.borrow().clone() else { return Burst::default() };
         let hosts = self.present();
@@ -59,7 +61,8 @@
         burst
     }
 
-    /// Sends `message` on to the hosts of `slice`, but for the one it is `from`.
+    /// Forwards `message` to the hosts of `slice`, except the one that it came
+    /// `from`.
     pub fn pass_on(&self, slice: Slice, message: &Message, from: SocketAddr) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let hosts = self.present().into_iter().filter(|(host, _)| slice.holds(host.name));
@@ -68,14 +71,15 @@
         send(&socket, &self.traffic, message, &addrs);
     }
 
-    /// Sends every host itself what `message` makes, `times` times, a few hosts
-    /// at a time and no faster than half of the link carries.
+    /// Sends every host the result of `message`, directly, `times` times, a few
+    /// hosts at a time and using at most half of the link. `message` is called
+    /// anew for each chunk.
     pub fn spread(&self, times: u32, message: impl Fn() -> Message + 'static) {
         let all = self.known.borrow().values().map(|p| p.record.peers).collect();
         self.tell(all, times, message);
     }
 
-    /// The same to the hosts at `addrs`.
+    /// Does the same as `spread` for the hosts at `addrs`.
     pub fn tell(
         &self,
         addrs: Vec<SocketAddr>,
@@ -109,21 +113,21 @@
     }
 }
 
-/// Sends `message` to each of `to`; the bytes of one datagram.
+/// Sends `message` to each of `to`. Returns the size of one datagram in bytes.
 fn send(socket: &UdpSocket, traffic: &Traffic, message: &Message, to: &[SocketAddr]) -> usize {
     let bytes = match bincode::serde::encode_to_vec(message, bincode::config::standard()) {
         Ok(bytes) => bytes,
         Err(error) => {
-            tracing::warn!(target: "peers", %error, "datagram not encoded");
+            tracing::warn!(target: "peers", %error, "cannot encode datagram");
             return 0;
         }
     };
     for addr in to {
-        // A datagram that cannot be sent now is lost like any other.
+        // A datagram that cannot be sent now is treated as lost.
         let sent = socket.try_send_to(&bytes, *addr);
         traffic.datagram(bytes.len(), sent.is_ok());
         if let Err(error) = sent {
-            tracing::debug!(target: "peers", %addr, %error, "datagram not sent");
+            tracing::debug!(target: "peers", %addr, %error, "cannot send datagram");
         }
     }
     bytes.len()
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other, as `bincode` carries it.
+//! The messages that hosts send each other, encoded with `bincode`.
 
 use std::net::SocketAddr;
 
@@ -13,88 +13,91 @@
 use crate::proxy::fleet::Load;
 use crate::proxy::relays::Relay;
 
-/// What a host keeps of itself in the platform's store.
+/// A host's record in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Where it takes callers.
+    /// Address at which it takes callers.
     pub callers: SocketAddr,
-    /// Where it takes datagrams of other hosts.
+    /// Address at which it receives other hosts' datagrams.
     pub peers: SocketAddr,
-    /// One life of its process.
+    /// Random number that identifies one incarnation of its process.
     pub life: u64,
 }
 
 /// One datagram.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
-    /// How the sender is.
+    /// Heartbeat: the sender's state.
     Hello(Box<Hello>),
-    /// Engines close for a change of weights, or are open again.
+    /// Engines that close for a change of weights, or are open again.
     Notices(Vec<Notice>),
-    /// What the sender has read of the registry.
+    /// Registry entries that the sender has read for the other hosts.
     Relay(Relay),
-    /// What the sender had at an upstream that crashed.
+    /// The requests that the sender had in flight at an upstream that crashed.
     Crashes(Vec<CrashReport>),
-    /// Requests that no host sends any more.
+    /// Requests in quarantine, which no host sends any more.
     Quarantine(Vec<Quarantined>),
-    /// What the sender admitted of workspaces for which the receiver accounts.
+    /// What the sender admitted for the workspaces for which the receiver is
+    /// quota coordinator.
     Usages(Sender, Vec<Usage>),
-    /// What the receiver may admit of them, by the account of the host with this
-    /// hashed name.
+    /// What the receiver may admit for these workspaces. The number is the hash
+    /// of the name of the host that keeps the account.
     Verdicts(u64, Vec<Verdict>),
-    /// To be taken in, and passed on to a part of the hosts.
+    /// A message that the receiver is to process and to forward to a slice of the
+    /// hosts.
     PassOn(Slice, Box<Message>),
 }
 
-/// How a host is.
+/// A heartbeat: the state of a host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its name.
     pub name: String,
-    /// Where it is.
+    /// Its addresses and incarnation.
     pub record: HostRecord,
-    /// It takes callers.
+    /// Whether it takes callers.
     pub open: bool,
-    /// Requests it has at each upstream, by key.
+    /// Its requests at each upstream, by the upstream's key.
     pub loads: Vec<(u64, Load)>,
-    /// Upstreams it could not reach, by key.
+    /// Keys of upstreams that it could not reach.
     pub doubts: Vec<u64>,
-    /// How much it knows.
+    /// Versions of what it knows, by which the receiver sees whether it lacks
+    /// something.
     pub extent: Extent,
-    /// Weights named lately: model, version, milliseconds since.
+    /// Recently announced weights: model, version, and milliseconds since the
+    /// announcement.
     pub named: Vec<(String, u64, u64)>,
-    /// What caches have taken in and dropped lately.
+    /// What caches have recently added and evicted.
     pub news: Vec<News>,
-    /// How it stands to the duty of ordering weights.
+    /// Whether it is a candidate for leadership of weights rollouts.
     pub stance: Stance,
-    /// Its room for that duty.
+    /// Its capacity for that leadership.
     pub room: Room,
-    /// Milliseconds since it last saw a store error.
+    /// Milliseconds since its last store error.
     pub store_error: Option<u64>,
-    /// Requests that it learnt lately to be in quarantine.
+    /// Requests that it recently learnt to be in quarantine.
     pub quarantine: Vec<Quarantined>,
 }
 
-/// How much a host knows.
+/// Versions of what a host knows.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Extent {
     /// The version of its configuration.
     pub config: u64,
-    /// The sum of the versions of its weights.
+    /// The sum of the weights versions that it knows.
     pub weights: u64,
-    /// Times that requests in quarantine were found.
+    /// Number of times that the requests in quarantine were put there.
     pub entries: u64,
 }
 
-/// Engines that change their weights, or have.
+/// Engines that change their weights, or have done so.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Notice {
     /// The model.
     pub model: String,
-    /// The version they change to, or serve.
+    /// The version to which they change, or that they serve.
     pub version: u64,
     /// For how long they are closed, in milliseconds; `None` once they are open.
     pub closed: Option<u64>,
-    /// Keys of the engines' lives.
+    /// Keys of the engines' incarnations.
     pub upstreams: Vec<u64>,
 }
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -1,5 +1,5 @@
-//! Tells other hosts which engines are closed for a change of weights, and
-//! takes in what they tell. What goes into which message is decided by
+//! Announces to the other hosts which engines are closed for a change of weights,
+//! and processes their announcements. What goes into which message is decided by
 //! [`marjoram_core::announce`].
 
 use std::collections::HashMap;
@@ -13,24 +13,26 @@
 use super::hosts::{Message, Notice};
 use super::site::Site;
 
-/// For how long an engine is told to be closed: a lease of the duty, and the
-/// time in which the next holder is dealt it and asks the engine.
+/// For how long an engine is announced as closed: one lease of the leadership,
+/// and the time in which the next leader is assigned it and polls the engine.
 const CLOSED_TTL: Duration = Duration::from_millis(4_500);
 
-/// How long a message waits for what is to be told at nearly the same time.
+/// Delay before a message is sent, so that changes at nearly the same time share
+/// it.
 const GATHER: Duration = Duration::from_millis(15);
 
-/// Longest that an order waits until others have been told of it.
+/// Longest time that an order waits for its announcement to be sent to the
+/// others.
 const TOLD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells all hosts, this one included, that `upstreams` close for a change to
-/// `weights`.
+/// Announces to all hosts, including this one, that `upstreams` close for a
+/// change to `weights`.
 pub fn close(site: &Site, upstreams: &[Rc<Upstream>], weights: &Weights) {
     let Weights { model, version } = weights.clone();
     tell(site, upstreams, Change::Closed { model, version, span: CLOSED_TTL });
 }
 
-/// Tells all hosts, this one included, that `upstream` is open and serves
+/// Announces to all hosts, including this one, that `upstream` is open and serves
 /// `weights`.
 pub fn open(site: &Site, upstream: &Rc<Upstream>, weights: &Weights) {
     let Weights { model, version } = weights.clone();
@@ -46,23 +48,24 @@
     site.notices.added.notify_one();
 }
 
-/// Waits until all hosts have been sent the last word on `upstream` once.
+/// Waits until the latest change of `upstream` has been sent to all hosts once.
 pub async fn sent(site: &Site, upstream: &Upstream) {
     let all = async {
         while !site.notices.told.borrow().is_told(upstream.key) {
             site.notices.sent.notified().await;
         }
     };
-    // Other hosts find out by a refusal.
+    // Hosts without the announcement learn of the change when the engine refuses
+    // a request.
     let _ = tokio::time::timeout(TOLD_TIMEOUT, all).await;
 }
 
-/// Sends what there is to tell, no faster than the link allows.
+/// Sends pending announcements, no faster than the link allows.
 pub async fn run(site: Rc<Site>) {
     loop {
         let due = site.notices.told.borrow().due();
         let wait = due.map_or(Duration::MAX, |at| at.saturating_sub(site.now()));
-        // What was added may be due sooner.
+        // A newly added announcement may be due sooner.
         let _ = tokio::time::timeout(wait, site.notices.added.notified()).await;
         tokio::time::sleep(GATHER).await;
         let next = site.notices.told.borrow_mut().next(site.now());
@@ -77,7 +80,7 @@
     }
 }
 
-/// Puts engines together of which the same is told.
+/// Combines engines with the same change into one notice.
 fn group(changes: Vec<(u64, Change)>) -> Vec<Notice> {
     let mut notices: Vec<Notice> = Vec::new();
     for (key, change) in changes {
@@ -117,7 +120,7 @@
     }
 }
 
-/// Takes in what another host tells of engines.
+/// Processes another host's announcements.
 pub fn take(site: &Site, notices: &[Notice]) {
     let mut told: HashMap<u64, &Notice> = HashMap::new();
     for notice in notices {
@@ -130,7 +133,7 @@
     }
 }
 
-/// Takes in which weights engines state in the registry.
+/// Takes in which weights engines serve, according to the registry.
 pub fn take_weights(site: &Site, stated: &[(u64, Vec<Weights>)]) {
     let stated: HashMap<u64, &Vec<Weights>> = stated.iter().map(|(key, w)| (*key, w)).collect();
     for upstream in site.fleet.all() {
@@ -142,7 +145,7 @@
 
 fn take_change(site: &Site, upstream: &Upstream, change: &Change) {
     match change {
-        // It has changed meanwhile: an earlier datagram comes late.
+        // The engine has changed in the meantime, so this datagram arrived late.
         Change::Closed { model, version, .. } if upstream.weights(model) >= Some(*version) => {}
         Change::Closed { span, .. } => upstream.closed.set(Some(site.now() + *span)),
         Change::Open { model, version } => {
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -1,11 +1,11 @@
-//! Greets the other hosts, and takes in what they say.
+//! Exchanges heartbeats and other messages with the other hosts.
 //!
-//! Datagrams with `bincode`: each says everything again a moment later, so a
-//! lost one needs no repair, and a host that has gone costs its peers
-//! nothing. (An `h2` stream to each of eight peers costs a connection's
-//! memory and several system calls a message; nothing here needs order or
-//! delivery.) Nothing here is agreed on: a wrong view costs a caller one detour
-//! or a request a worse place.
+//! Messages are `bincode` datagrams. Each heartbeat repeats everything a moment
+//! later, so a lost one needs no retransmission, and a host that is gone costs
+//! its peers nothing. (An `h2` stream to each of eight peers would cost a
+//! connection's memory and several system calls per message, and nothing here
+//! needs order or delivery.) None of this state is agreed on between hosts: a
+//! wrong view costs a caller one detour, or a request a less suitable engine.
 
 mod greeting;
 
@@ -23,19 +23,20 @@
 pub use greeting::greet;
 use greeting::take_ages;
 
-/// Times each peer is told of an event: a datagram may be lost.
+/// Number of times each peer is sent an event, since a datagram may be lost.
 const SENDS: u32 = 2;
 
-/// Largest datagram.
+/// Largest datagram, in bytes.
 const DATAGRAM: usize = 16 << 10;
 
-/// Greets the other hosts and listens to them until the process ends.
+/// Sends heartbeats and receives messages until the process ends.
 pub async fn run(site: Rc<Site>) {
     let addr = site.peers.record.peers;
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => Rc::new(socket),
         Err(error) => {
-            tracing::error!(target: "peers", %addr, %error, "no socket between hosts");
+            tracing::error!(target: "peers", %addr, %error,
+                "cannot bind the socket for messages between hosts");
             return;
         }
     };
@@ -64,7 +65,7 @@
     let mut buf = vec![0u8; DATAGRAM];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
-            // A reset from a port without a listener: that peer is down.
+            // An error reported for a port without a listener: that peer is down.
             tokio::task::yield_now().await;
             continue;
         };
@@ -75,12 +76,12 @@
                 hear(&site, *message, from);
             }
             Ok((message, _)) => hear(&site, message, from),
-            Err(error) => tracing::warn!(target: "peers", %from, %error, "datagram not understood"),
+            Err(error) => tracing::warn!(target: "peers", %from, %error, "cannot decode datagram"),
         }
     }
 }
 
-/// Takes in what the host at `from` says or passes on.
+/// Processes a message that the host at `from` sent or forwarded.
 fn hear(site: &Rc<Site>, message: Message, from: SocketAddr) {
     match message {
         Message::Hello(mut hello) => {
@@ -102,7 +103,7 @@
         Message::Quarantine(entries) => poison::hear_quarantined(site, entries),
         Message::Usages(sender, usages) => quota::hear_usages(site, sender, &usages, from),
         Message::Verdicts(account, verdicts) => quota::hear_verdicts(site, account, &verdicts),
-        // A message is passed on once.
+        // A message is forwarded only once.
         Message::PassOn(..) => {}
     }
 }
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -1,4 +1,4 @@
-//! What a host tells of itself when it greets others.
+//! The content of the heartbeats that a host sends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use crate::proxy::site::Site;
 use crate::proxy::warm;
 
-/// How long hosts tell each other when weights were named: an engine that
-/// could not be reached may still be on weights that were replaced long ago.
+/// How long hosts include the time of an announcement of weights in heartbeats.
+/// An engine that was unreachable may still be on weights that were replaced long
+/// ago.
 const MAX_WEIGHTS_AGE: Duration = Duration::from_secs(600);
 
-/// Upstreams in doubt that one greeting names: half a kilobyte.
+/// Unreachable upstreams named in one heartbeat; they take half a kilobyte.
 const MAX_DOUBTS: usize = 64;
 
-/// Tells a few hosts how this one is.
+/// Sends a heartbeat to the next few hosts.
 pub fn greet(site: &Site) {
     let own = |u: &Rc<Upstream>| (u.key, u.own.get());
     let (now, all) = (site.now(), site.fleet.all());
@@ -39,7 +40,8 @@
     site.peers.greet(hello);
 }
 
-/// Some of the upstreams that this host cannot reach, drawn anew each time.
+/// Keys of upstreams that this host cannot reach, starting at a random one each
+/// time if there are too many.
 fn doubts(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
     let lost = all.iter().filter(|u| u.health.borrow().is_lost(now));
     let mut keys: Vec<u64> = lost.map(|u| u.key).collect();
@@ -51,7 +53,7 @@
     keys
 }
 
-/// Weights named so lately that it matters when.
+/// Weights versions announced so recently that their age matters.
 fn lately_named(site: &Site) -> Vec<(String, u64, u64)> {
     let (now, named) = (site.now(), site.named.borrow());
     let ages = named.iter().flat_map(|(model, n)| {
@@ -61,7 +63,7 @@
     ages.collect()
 }
 
-/// Takes in when another host learnt of weights.
+/// Takes in when another host learnt of weights versions.
 pub(super) fn take_ages(site: &Site, named: &[(String, u64, u64)]) {
     let mut all = site.named.borrow_mut();
     for (model, version, age) in named {
--- a/crates/router/src/proxy/relay.rs
+++ b/crates/router/src/proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller, whole or event by event.
+//! Forwards an answer to the caller: a complete body, or a stream event by event.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use super::request::{Answer, Exchange};
 use super::site::Site;
 
-/// Silence inside a stream after which its upstream is probed; the stream is
-/// resumed elsewhere only if the upstream does not answer. An engine that lacks
-/// memory suspends a stream for seconds, and there may be no other that can
-/// resume it. Callers give up after two seconds.
+/// Silence within a stream after which its upstream is probed. The stream is
+/// resumed elsewhere only if the upstream does not answer the probe: an engine
+/// short of memory suspends a stream for seconds, and there may be no other
+/// engine that can resume it. Callers give up after two seconds.
 const STREAM_SILENCE: Duration = Duration::from_millis(1_200);
 
 /// Bytes of a caller's next request that are read ahead.
@@ -27,18 +27,18 @@
 /// How an exchange with a caller ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// Answered with this status; the connection may go on.
+    /// Answered with this status; the connection may be used again.
     Answered(u16),
-    /// Refused by the router; the connection may go on.
+    /// Refused by the router; the connection may be used again.
     Refused(Refusal),
-    /// The caller left.
+    /// The caller disconnected.
     Left,
-    /// The answer had begun and broke off; the connection must be reset.
+    /// The answer broke off after it had begun; the connection must be reset.
     Cut(String),
 }
 
-/// Sends the request of `exchange` and passes its answer on to `caller`;
-/// `last` when the connection closes after this answer.
+/// Sends the request of `exchange` and forwards the answer to `caller`. `last` is
+/// set if the connection closes after this answer.
 pub async fn run(site: &Site, caller: &mut Conn, exchange: &mut Exchange, last: bool) -> Outcome {
     let answer = tokio::select! {
         answer = exchange.open(None) => answer,
@@ -61,7 +61,7 @@
     (200..300).contains(&opened.head.status) && kind.starts_with("text/event-stream")
 }
 
-/// The head of an upstream's answer for the caller.
+/// The head of the answer to the caller, made from the upstream's.
 fn head(opened: &Opened, last: bool) -> ResponseWriter {
     let mut writer = ResponseWriter::new(opened.head.status);
     for (name, value) in opened.head.headers.end_to_end() {
@@ -73,7 +73,7 @@
     writer
 }
 
-/// Passes a failure on that an upstream answered.
+/// Forwards an error response of an upstream.
 async fn failed(
     site: &Site,
     caller: &mut Conn,
@@ -82,7 +82,7 @@
     last: bool,
 ) -> Outcome {
     let status = opened.head.status;
-    // To a caller these statuses promise that the request has not run.
+    // Callers take these statuses as a promise that the request was not executed.
     if matches!(status, 408 | 421 | 429 | 503) && !opened.mark.not_run {
         opened.finish(site.now());
         return Outcome::Refused(Refusal::with_status(
@@ -98,8 +98,8 @@
     }
 }
 
-/// Passes on an answer that has been collected whole, so that one that is
-/// cut short is never taken for complete.
+/// Forwards an answer after its body has been received completely, so that the
+/// caller never takes a truncated one for complete.
 async fn whole(
     site: &Site,
     caller: &mut Conn,
@@ -154,21 +154,21 @@
     }
 }
 
-/// A stream of events on its way to a caller.
+/// A stream of events being forwarded to a caller.
 struct Stream<'a> {
     site: &'a Site,
     exchange: &'a mut Exchange,
     last: bool,
     splitter: Splitter,
-    /// The head, until it has been written.
+    /// The response head, until it has been written.
     head: Option<BytesMut>,
-    /// Id of the last event passed on.
+    /// Id of the last event forwarded.
     passed: Option<u64>,
-    /// Something has been passed on.
+    /// Some bytes have been forwarded.
     begun: bool,
 }
 
-/// The next step of a stream.
+/// Result of waiting for more of a stream.
 enum Step {
     Go,
     Ended,
@@ -223,7 +223,7 @@
                 Ok(Answer::Open(next, counted)) if is_stream(&next) => {
                     self.site.counters.count("stream.resumed");
                     tracing::info!(target: "stream", id = self.exchange.id(), passed = self.passed,
-                        upstream = %next.upstream.life, after = %failure, "stream taken up again");
+                        upstream = %next.upstream.life, after = %failure, "stream resumed");
                     if !self.begun {
                         self.head = Some(head(&next, self.last).chunked());
                     }
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Waits for more of the stream and passes on the events that are whole.
+    /// Waits for more of the stream and forwards the events that are complete.
     async fn step(&mut self, caller: &mut Conn, opened: &mut Opened) -> Step {
         let silence = match self.exchange.may_resume() {
             true => STREAM_SILENCE,
@@ -270,12 +270,13 @@
         }
     }
 
-    /// Passes on whole events; false when the caller has gone.
+    /// Forwards complete events; returns false if the caller has disconnected.
     async fn pass(&mut self, caller: &mut Conn) -> bool {
         let mut data = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
             match (event.id, self.passed) {
-                // A resumed stream may begin with what has been passed on.
+                // A resumed stream may begin with events that have already been
+                // forwarded.
                 (Some(id), Some(passed)) if id <= passed => continue,
                 (Some(id), _) => self.passed = Some(id),
                 (None, _) => {}
--- a/crates/router/src/proxy/relays.rs
+++ b/crates/router/src/proxy/relays.rs
@@ -1,4 +1,4 @@
-//! What hosts read of the registry for each other.
+//! Registry changes that hosts read for each other.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -10,19 +10,19 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a record says of an upstream.
+/// What a registry record says about an upstream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Statement {
-    /// It states itself.
+    /// The upstream's own entry.
     Stated(Entry),
-    /// Its entry is gone.
+    /// Its entry has been deleted.
     Gone(UpstreamId),
-    /// Somebody else wrote under its key.
+    /// The record under its key is not a valid entry.
     Foreign(UpstreamId),
 }
 
 impl Statement {
-    /// The upstream that it is of.
+    /// The upstream that the record is about.
     pub fn id(&self) -> &UpstreamId {
         match self {
             Self::Stated(entry) => &entry.life.id,
@@ -31,45 +31,45 @@
     }
 }
 
-/// Reads that are told of at once: a datagram that is lost leaves no gap then.
+/// Number of reads covered by each message, so that one lost datagram leaves no
+/// gap.
 const MAX_READS: usize = 2;
 
-/// Relays that wait to be taken in at most.
+/// Received relays that may wait to be processed.
 const MAX_WAITING: usize = 16;
 
-/// What was news in some records, with their offsets.
+/// Changes in some records, with their offsets.
 pub type News = Vec<(u64, Statement)>;
 
-/// What one host has read for others.
+/// What one host has read for the others.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Relay {
-    /// Milliseconds since the store was asked.
+    /// Milliseconds since the request to the store.
     pub age: u64,
     /// The offsets read.
     pub span: Span,
-    /// What was news in them, with its offset.
+    /// The changes in them, with their offsets.
     pub news: News,
-    /// Engines that changed their weights, by the keys of their lives. The host
-    /// that ordered it has told so before, and many change at once, so this
-    /// waits its turn.
+    /// Engines that changed their weights, by the keys of their incarnations.
+    /// These are sent a few at a time: the leader that ordered the change has
+    /// announced it already, and many engines change at once.
     pub weights: Vec<(u64, Vec<Weights>)>,
 }
 
-/// A relay as it was heard.
+/// A received relay.
 pub struct Heard {
-    /// The relay.
     pub relay: Relay,
-    /// When its host had asked the store, on this one's clock.
+    /// When its sender sent the request to the store, on this host's clock.
     pub asked: Duration,
 }
 
-/// Changes of weights told at once.
+/// Engines with changed weights in one message.
 const MAX_WEIGHTS: usize = 24;
 
-/// Relays between hosts: those heard, and what this host told last.
+/// Relays between hosts: those received, and those that this host sent last.
 #[derive(Default)]
 pub struct Relays {
-    /// Changes of weights to be told.
+    /// Weights changes still to be sent.
     weights: RefCell<BTreeMap<u64, Vec<Weights>>>,
     heard: RefCell<VecDeque<Heard>>,
     arrived: Notify,
@@ -77,7 +77,7 @@
 }
 
 impl Relays {
-    /// Takes in what another host tells at `now`.
+    /// Takes in a relay received at `now`.
     pub fn hear(&self, relay: Relay, now: Duration) {
         let asked = now.saturating_sub(Duration::from_millis(relay.age));
         let mut heard = self.heard.borrow_mut();
@@ -88,7 +88,7 @@
         self.arrived.notify_one();
     }
 
-    /// The next that was heard.
+    /// Waits for the next received relay.
     pub async fn next(&self) -> Heard {
         loop {
             if let Some(heard) = self.heard.borrow_mut().pop_front() {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// An engine states that it changed its weights, and nothing else.
+    /// Records that only the weights in an engine's entry changed.
     pub fn note_weights(&self, statement: &Statement) {
         if let Statement::Stated(entry) = statement {
             let key = xxh3_64(entry.life.to_string().as_bytes());
@@ -106,18 +106,20 @@
         }
     }
 
-    /// The next changes of weights to be told.
+    /// Takes the next weights changes to be sent.
     pub fn next_weights(&self) -> Vec<(u64, Vec<Weights>)> {
         let mut weights = self.weights.borrow_mut();
         (0..MAX_WEIGHTS).map_while(|_| weights.pop_first()).collect()
     }
 
-    /// Forgets them: this host does not tell.
+    /// Discards the weights changes to be sent, since this host does not read for
+    /// others.
     pub fn drop_weights(&self) {
         self.weights.borrow_mut().clear();
     }
 
-    /// Adds what was just read to what is told of the last reads.
+    /// Adds a read to the last ones. Returns the span and the changes of all of
+    /// them, to be sent together.
     pub fn add(&self, span: Span, news: News) -> (Span, News) {
         let mut told = self.told.borrow_mut();
         if told.back().is_some_and(|(last, _)| (last.era, last.next) != (span.era, span.from)) {
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -1,4 +1,4 @@
-//! The life of the process: start, reload, stop.
+//! Process lifecycle: start, settings reload, shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,23 +20,24 @@
 /// New connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Time between looks at the settings file, which may change unannounced.
+/// Time between checks of the settings file, which may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest time to go on serving after a request to stop: callers keep an
+/// Shortest time to go on serving after a request to stop: callers cache an
 /// answer that names this host for two seconds.
 const MIN_STOP: Duration = Duration::from_millis(2_500);
 
-/// A stop is complete when no request came for so long.
+/// A stop is complete once no request has come for this long.
 const STOP_QUIET: Duration = Duration::from_millis(600);
 
-/// Time kept back from what a stop may take.
+/// Safety margin subtracted from the time that a stop may take.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 
-/// Time kept for giving up a duty that is still carried out.
+/// Time reserved at the end of a stop for giving up leadership while a rollout is
+/// in progress.
 const STOP_LEAVE: Duration = Duration::from_millis(1_400);
 
-/// Runs the proxy until it is told to stop.
+/// Runs the proxy until it receives a signal to stop.
 pub async fn run(options: ProxyOptions) -> Result<(), Error> {
     let logs = logs::init();
     let path = options.settings;
@@ -54,8 +55,11 @@
     let metrics = SocketAddr::new(listening.ip, options.metrics_port);
     match listen(metrics) {
         Ok(listener) => questions.push(listener),
-        // Requests are served without metrics; the state stands elsewhere too.
-        Err(error) => tracing::error!(target: "run", %error, "no metrics"),
+        // Requests are served without metrics too; the state dump is also
+        // available on the other listeners.
+        Err(error) => {
+            tracing::error!(target: "run", %error, "cannot listen for metrics requests")
+        }
     }
     ntex::rt::spawn(callers::serve(site.clone(), callers_listener));
     for listener in questions {
@@ -95,8 +99,8 @@
     Ok(())
 }
 
-/// Stops without cutting a request: callers are sent elsewhere first. A host
-/// that is bringing engines to new weights goes on with that meanwhile.
+/// Stops without interrupting a request: callers are sent to other hosts first. A
+/// leader that is changing engines' weights goes on with that in the meantime.
 async fn stop(site: &Rc<Site>, duty: &Duty, logs: &Logs) {
     let begun = site.now();
     let end = begun + site.settings.load().bounds.grace.saturating_sub(STOP_MARGIN);
@@ -127,10 +131,10 @@
         lines_dropped = logs.dropped.dropped_lines(), "stopped");
 }
 
-/// Reads the settings again on a signal, and when the file has changed.
+/// Reloads the settings on SIGHUP, and when the file has changed.
 async fn watch_settings(site: Rc<Site>, path: String) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        tracing::error!(target: "run", "cannot watch for reloads");
+        tracing::error!(target: "run", "cannot listen for SIGHUP; settings will not be reloaded");
         return;
     };
     let mut seen = changed_at(&path);
@@ -146,7 +150,7 @@
         seen = at;
         match settings::load(&path) {
             Ok(new) if new == **site.settings.load() => {
-                tracing::info!(target: "run", asked, "settings read again, unchanged");
+                tracing::info!(target: "run", asked, "settings reloaded, unchanged");
             }
             Ok(new) => {
                 tracing::info!(target: "run", asked, store = %new.store.addr, "settings changed");
@@ -154,7 +158,8 @@
                 site.regained.notify_waiters();
             }
             Err(error) => {
-                tracing::error!(target: "run", asked, %error, "settings not understood, old ones kept");
+                tracing::error!(target: "run", asked, %error,
+                    "cannot load settings; keeping the current ones");
             }
         }
     }
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -1,4 +1,5 @@
-//! State that the parts of one process share. Nothing here imports those parts.
+//! State shared by the parts of one process. This module imports none of those
+//! parts.
 
 mod notices;
 mod poison;
@@ -37,75 +38,75 @@
 pub use poison::{Broken, Poison};
 pub use quotas::Quotas;
 
-/// Everything that the parts of one process share.
+/// State shared by the parts of one process.
 pub struct Site {
-    /// Checked settings; replaced when the file changes.
+    /// Validated settings, replaced when the file changes.
     pub settings: ArcSwap<HostSettings>,
-    /// How engines are chosen.
+    /// The policy that chooses engines.
     pub policy: PolicyName,
-    /// Which mechanisms of the decisions are in use.
+    /// Which decision mechanisms are in use.
     pub switches: Switches,
     /// Counts choices, for policies that take turns.
     pub turn: Cell<u64>,
     /// The configuration in force.
     pub catalog: ArcSwapOption<Catalog>,
-    /// Upstreams as the store lists them.
+    /// Upstreams as listed in the store.
     pub registry: RefCell<Registry>,
-    /// Upstreams.
+    /// Upstreams with their load and health.
     pub fleet: Fleet,
     /// The other hosts.
     pub peers: Peers,
-    /// Weights named, by model.
+    /// Announced weights versions, by model.
     pub named: RefCell<HashMap<String, Named>>,
-    /// The stores of prompt caches.
+    /// The stores that hold prompt caches.
     pub stores: Stores,
-    /// Events of caches to be told to other hosts.
+    /// Cache updates to be sent to other hosts.
     pub news: RefCell<Digest>,
-    /// What hosts read of the registry for each other.
+    /// Registry changes that hosts read for each other.
     pub relays: Relays,
-    /// What this host tells of engines that change their weights.
+    /// Announcements to be sent of engines that change their weights.
     pub notices: Notices,
     /// Requests that crash upstreams.
     pub poison: Poison,
-    /// What workspaces may send, and have sent.
+    /// Workspaces' quotas and their usage.
     pub quotas: Quotas,
-    /// Counters and histograms.
     pub counters: Counters,
-    /// What is sent and received beside callers' requests.
+    /// Counts messages and calls other than callers' requests.
     pub traffic: Rc<Traffic>,
-    /// The process is stopping.
+    /// Set once the process is stopping.
     pub stopping: Cell<Option<Stop>>,
     /// The upstreams have been listed once.
     pub listed: Cell<bool>,
-    /// What hosts have written down for each other has been read, or waited for.
+    /// The hosts' records and the quarantine have been read once, or the wait for
+    /// them has timed out.
     pub recalled: Cell<bool>,
-    /// The newest era of the store that was met.
+    /// The newest era of the store that has been reported to this host.
     pub era: Cell<Option<Era>>,
-    /// When this host last saw a store error.
+    /// When this host's last store error was.
     pub store_error: Cell<Option<Duration>>,
-    /// When the store has been sound, by what all hosts met.
+    /// Store availability over time, as judged from all hosts' errors.
     pub soundness: RefCell<Soundness>,
-    /// Since when other hosts are known to know more.
+    /// Since when other hosts are known to have newer state.
     pub behind: Cell<Option<Duration>>,
-    /// How this host stands to the duty of ordering weights.
+    /// This host's candidate status for leadership of weights rollouts.
     pub stance: Cell<Stance>,
-    /// Until when this host leaves that duty to others.
+    /// Until when this host leaves that leadership to others.
     pub rest: Cell<Duration>,
-    /// Told when the process stops taking connections.
+    /// Notified when the process stops accepting connections.
     pub stop: Notify,
-    /// Told when the store answers again, returned from a copy, or has another
-    /// address.
+    /// Notified when the store answers again, was restored from a copy, or has
+    /// another address.
     pub regained: Notify,
-    /// Told when weights are named or upstreams change.
+    /// Notified when a weights version is announced or upstreams change.
     pub duty: Notify,
-    /// Requests being handled.
+    /// Number of requests in progress.
     pub handled: Cell<u32>,
     budgets: RefCell<HashMap<String, Budget>>,
     start: Instant,
 }
 
 impl Site {
-    /// State for `settings`, before anything is known.
+    /// Initial state for `settings`.
     pub fn new(settings: HostSettings, policy: PolicyName, switches: Switches) -> Rc<Self> {
         let traffic = Rc::new(Traffic::default());
         let peers = Peers::new(&settings, traffic.clone());
@@ -145,22 +146,21 @@
         })
     }
 
-    /// Whether `mechanism` is in use.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         self.switches.has(mechanism)
     }
 
-    /// Time since the process started, on the steady clock.
+    /// Time since the process started, on the monotonic clock.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The moment `now` of the steady clock.
+    /// The instant at which [`Site::now`] returns `now`.
     pub fn at(&self, now: Duration) -> Instant {
         self.start + now
     }
 
-    /// This host's room for the duty of ordering weights.
+    /// This host's capacity for leadership of weights rollouts.
     pub fn room(&self) -> Room {
         match self.now() < self.rest.get() {
             true => Room::default(),
@@ -168,34 +168,34 @@
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether this host takes callers.
     pub fn is_ready(&self) -> bool {
         let knows = self.catalog.load().is_some() && self.listed.get() && self.recalled.get();
         self.stopping.get().is_none() && knows
     }
 
-    /// Takes in the era of an answer of the store; whether it holds still.
-    /// Positions read in an earlier one are void from here on.
+    /// Records the era of an answer of the store. Returns whether it is still the
+    /// newest; offsets from earlier eras are invalid from then on.
     pub fn note_era(&self, era: Era) -> bool {
         let known = self.era.get();
         if known < Some(era) {
             self.era.set(Some(era));
             if let Some(before) = known {
                 tracing::warn!(target: "store", %era, %before,
-                    "store returned from a copy, all is listed anew");
+                    "store was restored from a copy; listing all records again");
                 self.regained.notify_waiters();
             }
         }
         known <= Some(era)
     }
 
-    /// The store failed a call of this host, or was slow.
+    /// Records that a call of this host to the store failed or was slow.
     pub fn note_store_error(&self) {
         self.store_error.set(Some(self.now()));
         self.judge_store();
     }
 
-    /// Takes in what all hosts have met of the store.
+    /// Updates the store's availability from all hosts' errors.
     pub fn judge_store(&self) {
         let Some(met) = self.store_error.get() else { return };
         let now = self.now();
@@ -211,19 +211,20 @@
         self.catalog.load_full()
     }
 
-    /// Counts a caller's request for `service`.
+    /// Counts a caller's request for `service` towards the retry budget.
     pub fn count_request(&self, service: &str) {
         let now = self.now();
         self.with_budget(service, |budget| budget.request(now));
     }
 
-    /// Whether a request for `service` may be sent once more.
+    /// Takes one retry of a request for `service` from the retry budget; false if
+    /// it is exhausted.
     pub fn may_repeat(&self, service: &str) -> bool {
         let (now, hosts) = (self.now(), self.peers.count());
         self.with_budget(service, |budget| budget.repeat(now, hosts))
     }
 
-    /// Whether a request for `service` might be sent once more.
+    /// Whether the retry budget of `service` allows a retry, without taking one.
     pub fn might_repeat(&self, service: &str) -> bool {
         let (now, hosts) = (self.now(), self.peers.count());
         self.with_budget(service, |budget| budget.has_room(now, hosts))
--- a/crates/router/src/proxy/site/notices.rs
+++ b/crates/router/src/proxy/site/notices.rs
@@ -1,17 +1,18 @@
-//! What this host has yet to tell of engines that change their weights.
+//! Announcements that this host has yet to send of engines that change their
+//! weights.
 
 use std::cell::RefCell;
 
 use marjoram_core::announce::Announcements;
 use tokio::sync::Notify;
 
-/// What this host tells of engines.
+/// Queue of announcements, and its notifications.
 #[derive(Debug, Default)]
 pub struct Notices {
-    /// What is told, and when.
+    /// What is announced, and when.
     pub told: RefCell<Announcements>,
-    /// There is more to tell.
+    /// Notified when an announcement has been added.
     pub added: Notify,
-    /// A message has been sent.
+    /// Notified when a message has been sent.
     pub sent: Notify,
 }
--- a/crates/router/src/proxy/site/quotas.rs
+++ b/crates/router/src/proxy/site/quotas.rs
@@ -1,4 +1,4 @@
-//! What a host knows of the workspaces' quotas.
+//! What a host knows about the workspaces' quotas.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,17 +7,18 @@
 use marjoram_core::quota::ledger::{Hosts, Ledger};
 use tokio::sync::Notify;
 
-/// What a host knows of the workspaces' quotas.
+/// What a host knows about the workspaces' quotas.
 #[derive(Default)]
 pub struct Quotas {
-    /// Decides on the requests that reach this host.
+    /// Admits or refuses the requests that reach this host.
     pub gate: RefCell<Gate>,
-    /// The accounts that this host keeps for all.
+    /// The accounts for which this host is quota coordinator.
     pub ledger: RefCell<Ledger>,
-    /// The hosts, as last looked at.
+    /// The hosts, as of the last check.
     pub hosts: RefCell<Hosts>,
-    /// Told when a workspace's first request has come.
+    /// Notified at the first request of a workspace.
     pub first: Notify,
-    /// Workspaces whose requests were last not all admitted, by hashed name.
+    /// Whether some requests of a workspace were refused last, by the hash of its
+    /// name.
     pub limited: RefCell<HashMap<u64, bool>>,
 }
--- a/crates/router/src/proxy/storeclient.rs
+++ b/crates/router/src/proxy/storeclient.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store and to upstreams' own interfaces.
+//! HTTP client for the platform's store and for upstreams' control interfaces.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,36 +12,33 @@
 use super::conn::Conn;
 use super::http1::{self, Body, RequestWriter};
 
-/// Longest time to connect.
+/// Time limit for connecting.
 const CONNECT: Duration = Duration::from_millis(700);
 
 quick_error! {
-    /// Why a call brought no answer.
+    /// Why a call got no answer.
     #[derive(Debug)]
     pub enum CallError {
-        /// The peer could not be reached: nothing was done.
+        /// The peer could not be reached: the call was not executed.
         Connect(peer: SocketAddr, why: String) {
             display("connect to {peer}: {why}")
         }
-        /// The call broke off: it may have been carried out.
+        /// The call failed after it was sent: it may have been executed.
         Broken(peer: SocketAddr, why: String) {
             display("call to {peer}: {why}")
         }
     }
 }
 
-/// An answer.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Its status.
     pub status: u16,
-    /// The era of the store that gave it; zero for peers that have none.
+    /// The store's era; zero for peers that have none.
     pub era: Era,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// Calls one peer over one connection, one call at a time.
+/// A client of one peer, over one connection, with one call at a time.
 pub struct Caller {
     peer: SocketAddr,
     conn: Option<Conn>,
@@ -49,18 +46,20 @@
 }
 
 impl Caller {
-    /// A caller of `peer`, not yet connected.
+    /// A client of `peer`, not yet connected.
     pub fn new(peer: SocketAddr) -> Self {
         Self { peer, conn: None, bytes: 0 }
     }
 
-    /// Bytes of requests sent and bodies received since this was last asked.
+    /// Bytes of requests sent and bodies received since the last call of this
+    /// method.
     pub fn take_bytes(&mut self) -> u64 {
         std::mem::take(&mut self.bytes)
     }
 
-    /// Makes `call` with further `headers`, within `limit`. A connection
-    /// that is no longer quiet is replaced before the call.
+    /// Makes `call` with additional `headers`, within `limit`. A kept connection
+    /// that was closed or on which unexpected data arrived is replaced before the
+    /// call.
     pub async fn call(
         &mut self,
         call: &Call,
@@ -115,8 +114,8 @@
     }
     let keep = !head.headers.closes(head.minor) && conn.buf.is_empty() && !conn.ended;
     let era = store::era(|name| head.headers.get(name)).unwrap_or_else(|error| {
-        // Taken for a store that does not say: its records are still good.
-        tracing::warn!(target: "store", %error, "era not understood");
+        // Treated like a store that reports no era: its records are still valid.
+        tracing::warn!(target: "store", %error, "cannot parse the store's era");
         Era::default()
     });
     Ok((Reply { status: head.status, era, body: whole.freeze() }, keep))
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -1,9 +1,9 @@
-//! What a host fetches from another one while it cannot read the store.
+//! Fetches what another host knows while this one cannot read the store.
 //!
-//! A host that starts while the store is away, or that the store rejects, sees
-//! in the others' greetings that they know a newer configuration or newer
-//! weights, and fetches what they know. The store stays the source of truth:
-//! its records are newer or the same, and versions only rise, so applying
+//! A host that starts while the store is unavailable, or that the store rejects,
+//! sees in the others' heartbeats that they have a newer configuration or newer
+//! weights, and fetches their knowledge. The store remains the source of truth:
+//! its records are newer or the same, and versions only increase, so applying
 //! something twice or late does no harm.
 
 use std::net::SocketAddr;
@@ -23,26 +23,26 @@
 use super::site::Site;
 use crate::link;
 
-/// How long a difference must last before it is fetched: in steady state all
+/// How long a difference must last before it is fetched: in steady state, all
 /// hosts read the store within a few milliseconds of each other.
 const FETCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest time for another host's answer.
+/// Time limit for another host's answer.
 const ANSWER: Duration = Duration::from_millis(1_500);
 
-/// What a host knows.
+/// What a host knows, as sent to hosts that ask.
 #[derive(Debug, Serialize, Deserialize)]
 struct Knowledge {
     catalog: Option<Catalog>,
-    /// Newest weights by model.
+    /// Newest announced weights version by model.
     weights: Vec<(String, u64)>,
     upstreams: Vec<Entry>,
     hosts: Vec<(String, HostRecord)>,
-    /// Entries of the quarantine.
+    /// Quarantined requests.
     quarantine: Vec<Quarantined>,
 }
 
-/// Answers other hosts that ask what this one knows.
+/// Answers other hosts' requests for what this host knows.
 pub async fn serve(site: Rc<Site>, listener: TcpListener) {
     link::serve(listener, move |_| {
         let named = site.named.borrow();
@@ -60,7 +60,7 @@
     .await;
 }
 
-/// How much this host knows.
+/// Versions of what this host knows, for heartbeats.
 pub fn extent(site: &Site) -> Extent {
     Extent {
         config: site.catalog.load().as_ref().map_or(0, |c| c.version),
@@ -69,7 +69,8 @@
     }
 }
 
-/// Compares what the host at `from` says it knows with what this one does.
+/// Compares the versions reported by the host at `from` with this host's, and
+/// fetches its knowledge if this host has lacked some for long enough.
 pub fn compare(site: &Rc<Site>, from: SocketAddr, theirs: &Extent) {
     let (own, now) = (extent(site), site.now());
     let knows = theirs.config <= own.config
@@ -78,7 +79,8 @@
     match site.behind.get() {
         _ if knows => {}
         Some(since) if now < since + FETCH_DELAY => {}
-        // Fetched or not, the next check is due after the same time again.
+        // The next fetch is possible only after the same delay again, whether or
+        // not this one succeeds.
         Some(since) if now < since + FETCH_DELAY * 2 => {
             site.behind.set(None);
             ntex::rt::spawn(fetch(site.clone(), from));
@@ -103,13 +105,15 @@
     });
     match decoded {
         Ok(knowledge) => take(&site, from, knowledge),
-        Err(why) => tracing::warn!(target: "warm", %from, why, "nothing taken over"),
+        Err(why) => {
+            tracing::warn!(target: "warm", %from, why, "could not fetch state from another host")
+        }
     }
 }
 
 fn take(site: &Site, from: SocketAddr, knowledge: Knowledge) {
     tracing::info!(target: "warm", %from, upstreams = knowledge.upstreams.len(),
-        hosts = knowledge.hosts.len(), "another host's knowledge taken over");
+        hosts = knowledge.hosts.len(), "applied state fetched from another host");
     let source = from.to_string();
     if let Some(catalog) = knowledge.catalog {
         follow::put_in_force(site, catalog, &source);
@@ -119,7 +123,8 @@
     }
     poison::take_quarantined(site, knowledge.quarantine, &source);
     site.recalled.set(true);
-    // Once the store has listed the upstreams, its records are newer.
+    // Once this host has listed the upstreams in the store, its own records are
+    // newer.
     if !site.listed.get() {
         for entry in knowledge.upstreams {
             let id = entry.life.id.clone();
