--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -1,5 +1,5 @@
-//! The upstreams as this host sees them: which are listed, reachable, and how
-//! loaded they are.
+//! The upstreams as this host sees them: which are listed and reachable, and how
+//! loaded each is.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -19,7 +19,8 @@
 use crate::proxy::site::Site;
 
 /// Share of the bound on leaving upstreams that passes between two reads of their
-/// entries. What this leaves of the bound is the time that a read may take.
+/// entries. Two such intervals fit into the bound; the rest of it is left for the
+/// reads themselves.
 const POLL_SHARE: f64 = 0.45;
 
 /// The same for hosts that read for all: the others then receive updates before
--- a/crates/router/src/proxy/relays.rs
+++ b/crates/router/src/proxy/relays.rs
@@ -17,7 +17,7 @@
     Stated(Entry),
     /// Its entry has been deleted.
     Gone(UpstreamId),
-    /// The record under its key is not a valid entry.
+    /// The record under its key is not a valid entry, so somebody else wrote it.
     Foreign(UpstreamId),
 }
 
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -57,9 +57,7 @@
         Ok(listener) => questions.push(listener),
         // Requests are served without metrics too; the state dump is also
         // available on the other listeners.
-        Err(error) => {
-            tracing::error!(target: "run", %error, "cannot listen for metrics requests")
-        }
+        Err(error) => tracing::error!(target: "run", %error, "metrics not available"),
     }
     ntex::rt::spawn(callers::serve(site.clone(), callers_listener));
     for listener in questions {
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -77,8 +77,8 @@
     pub stopping: Cell<Option<Stop>>,
     /// The upstreams have been listed once.
     pub listed: Cell<bool>,
-    /// The hosts' records and the quarantine have been read once, or the wait for
-    /// them has timed out.
+    /// The hosts' records and the quarantine have been read once, from the store
+    /// or from another host, or the wait for them has timed out.
     pub recalled: Cell<bool>,
     /// The newest era of the store that has been reported to this host.
     pub era: Cell<Option<Era>>,
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -36,8 +36,8 @@
     pub well: RefCell<Recent>,
     /// Quarantine entries learnt recently, for heartbeats.
     pub told: RefCell<Vec<(Quarantined, Duration)>>,
-    /// Number of reports that completed the crashes needed to suspect a request;
-    /// a task checks them.
+    /// Incremented when received reports may complete a suspect's crashes, so
+    /// that the detection task checks again.
     pub called: Cell<u64>,
     /// Whether that task is running.
     pub detecting: Cell<bool>,
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -105,9 +105,7 @@
     });
     match decoded {
         Ok(knowledge) => take(&site, from, knowledge),
-        Err(why) => {
-            tracing::warn!(target: "warm", %from, why, "could not fetch state from another host")
-        }
+        Err(why) => tracing::warn!(target: "warm", %from, why, "cannot fetch another host's state"),
     }
 }
 
