--- a/crates/router/src/proxy/duty/change.rs
+++ b/crates/router/src/proxy/duty/change.rs
@@ -10,7 +10,7 @@
 use marjoram_platform::engine::{Ordered, Report, UPSTREAM_HEADER, WeightsOrder};
 use marjoram_platform::store::Call;
 
-use super::Duty;
+use super::Leadership;
 use crate::proxy::fleet::Upstream;
 use crate::proxy::notices;
 use crate::proxy::reports::{self, ANSWER};
@@ -23,20 +23,20 @@
 
 /// Time after an accepted order before the engine is first polled. Its report is
 /// some hundred milliseconds old.
-const FIRST_REPORT: Duration = Duration::from_millis(650);
+const FIRST_POLL_DELAY: Duration = Duration::from_millis(650);
 
 /// How long an engine may take to change before the attempt is given up and
 /// repeated later.
-const CHANGE_TIME: Duration = Duration::from_secs(6);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long a former leader goes on with a change; by then, the next leader
 /// announces the engine's state.
-const HANDED_ON: Duration = Duration::from_secs(3);
+const FORMER_LEADER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Delay before an engine whose order failed gets another. Doubled for each
-/// further failure, at most `ORDER_DOUBLINGS` times.
-const ORDER_PAUSE: Duration = Duration::from_millis(400);
-const ORDER_DOUBLINGS: u32 = 3;
+/// further failure, at most `MAX_RETRY_DOUBLINGS` times.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(400);
+const MAX_RETRY_DOUBLINGS: u32 = 3;
 
 /// How an engine's change ended.
 enum End {
@@ -48,14 +48,14 @@
 }
 
 /// Changes one engine to `weights`.
-pub(super) async fn change(duty: Rc<Duty>, upstream: Rc<Upstream>, weights: Weights) {
-    let begun = duty.site.now();
+pub(super) async fn change(leadership: Rc<Leadership>, upstream: Rc<Upstream>, weights: Weights) {
+    let begun = leadership.site.now();
     let mut closed = false;
-    let end = order(&duty, &upstream, &weights, &mut closed).await;
-    let now = duty.site.now();
+    let end = order(&leadership, &upstream, &weights, &mut closed).await;
+    let now = leadership.site.now();
     let ms = (now - begun).as_millis() as u64;
     {
-        let mut known = duty.known.borrow_mut();
+        let mut known = leadership.engine_states.borrow_mut();
         let state = known.entry(upstream.life.clone()).or_default();
         state.changing = None;
         match &end {
@@ -66,8 +66,9 @@
                     ms, "engine changed its weights");
             }
             End::Failed(why) | End::Unknown(why) => {
-                state.pause =
-                    Some(now + ORDER_PAUSE * 2u32.pow(state.failures.min(ORDER_DOUBLINGS)));
+                state.retry_at = Some(
+                    now + ORDER_RETRY_DELAY * 2u32.pow(state.failures.min(MAX_RETRY_DOUBLINGS)),
+                );
                 state.failures += 1;
                 state.orders = None;
                 tracing::warn!(target: "weights", upstream = %upstream.life, version = weights.version,
@@ -80,132 +81,157 @@
     // announced.
     if matches!(end, End::Changed) || closed && matches!(end, End::Failed(_)) {
         let served = upstream.weights(&weights.model).unwrap_or_default();
-        notices::open(&duty.site, &upstream, &Weights { version: served, ..weights });
+        notices::open(&leadership.site, &upstream, &Weights { version: served, ..weights });
     }
-    duty.site.duty.notify_one();
+    leadership.site.duty.notify_one();
 }
 
 /// Whether an engine reports that it is carrying out an order.
-pub(super) async fn is_busy(duty: Rc<Duty>, upstream: Rc<Upstream>) -> bool {
+pub(super) async fn is_changing(leadership: Rc<Leadership>, upstream: Rc<Upstream>) -> bool {
     let addr = upstream.entry.borrow().addr;
-    ask(&duty, &mut Caller::new(addr), &upstream).await.is_ok_and(|report| report.busy)
+    fetch_report(&leadership, &mut Caller::new(addr), &upstream)
+        .await
+        .is_ok_and(|report| report.busy)
 }
 
 /// Announces to the other hosts that one engine closes, then orders it to change
 /// and waits until it has. `closed` is set once the announcement has been queued.
-async fn order(duty: &Duty, upstream: &Rc<Upstream>, weights: &Weights, closed: &mut bool) -> End {
+async fn order(
+    leadership: &Leadership,
+    upstream: &Rc<Upstream>,
+    weights: &Weights,
+    closed: &mut bool,
+) -> End {
     let addr: SocketAddr = upstream.entry.borrow().addr;
     let mut caller = Caller::new(addr);
-    let count = duty.known.borrow().get(&upstream.life).and_then(|k| k.orders);
+    let count = leadership.engine_states.borrow().get(&upstream.life).and_then(|k| k.orders);
     let orders = match count {
         Some(orders) => orders,
-        None => match ask(duty, &mut caller, upstream).await {
+        None => match fetch_report(leadership, &mut caller, upstream).await {
             Ok(report) if serves(&report, weights) => return End::Changed,
             Ok(report) if report.busy => {
                 *closed = true;
-                return wait_changed(duty, upstream, weights, &mut caller, false).await;
+                return wait_until_changed(leadership, upstream, weights, &mut caller, false).await;
             }
             Ok(report) => report.orders,
             Err(why) => return End::Failed(why),
         },
     };
-    notices::close(&duty.site, std::slice::from_ref(upstream), weights);
+    notices::close(&leadership.site, std::slice::from_ref(upstream), weights);
     *closed = true;
-    notices::sent(&duty.site, upstream).await;
+    notices::wait_until_sent(&leadership.site, upstream).await;
     tokio::time::sleep(ORDER_DELAY).await;
     // The wait for a call slot may outlast the lease, so the token is read after
     // it.
-    let permit = duty.call_slot().await;
-    let Some(token) = duty.token() else { return End::Failed("no longer leader".into()) };
+    let permit = leadership.call_slot().await;
+    let Some(token) = leadership.token() else { return End::Failed("no longer leader".into()) };
     let order = WeightsOrder {
         upstream: upstream.life.clone(),
         weights: weights.clone(),
-        holder: duty.site.settings.load().name.clone(),
+        holder: leadership.site.settings.load().name.clone(),
         token: token.number(),
         orders,
     };
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
     let reply = caller.call(&Call::from(&order), &headers, ANSWER).await;
     drop(permit);
-    duty.site.traffic.call(caller.take_bytes(), reply.is_ok());
+    leadership.site.traffic.call(caller.take_bytes(), reply.is_ok());
     tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version, token = token.number(), orders,
         outcome = ?reply.as_ref().map(|r| r.status).map_err(|e| e.to_string()), "order sent");
     match reply.as_ref().map(|r| Ordered::from(r.status)) {
         Ok(Ordered::Holds) => return End::Changed,
         Ok(Ordered::Accepted) => {
-            duty.known.borrow_mut().entry(upstream.life.clone()).or_default().orders =
-                Some(orders + 1);
+            leadership
+                .engine_states
+                .borrow_mut()
+                .entry(upstream.life.clone())
+                .or_default()
+                .orders = Some(orders + 1);
         }
         Ok(Ordered::Misdirected) => {
-            duty.site.fleet.remove(&upstream.life);
+            leadership.site.fleet.remove(&upstream.life);
             return End::Failed("its address belongs to another upstream".into());
         }
         Ok(Ordered::Conflict) => {
             // Another order is in progress, or was accepted unnoticed; the
             // engine's next report decides.
-            duty.known.borrow_mut().entry(upstream.life.clone()).or_default().orders = None;
+            leadership
+                .engine_states
+                .borrow_mut()
+                .entry(upstream.life.clone())
+                .or_default()
+                .orders = None;
         }
         Ok(outcome) => return End::Failed(format!("{outcome:?}")),
         // The order may have been accepted although no answer came.
         Err(_) => {
-            duty.known.borrow_mut().entry(upstream.life.clone()).or_default().orders = None;
+            leadership
+                .engine_states
+                .borrow_mut()
+                .entry(upstream.life.clone())
+                .or_default()
+                .orders = None;
             caller = Caller::new(addr);
         }
     }
     let accepted = matches!(reply.map(|r| Ordered::from(r.status)), Ok(Ordered::Accepted));
-    wait_changed(duty, upstream, weights, &mut caller, accepted).await
+    wait_until_changed(leadership, upstream, weights, &mut caller, accepted).await
 }
 
 /// Fetches an engine's report and counts the call.
-async fn ask(duty: &Duty, caller: &mut Caller, upstream: &Upstream) -> Result<Report, String> {
-    let permit = duty.call_slot().await;
+async fn fetch_report(
+    leadership: &Leadership,
+    caller: &mut Caller,
+    upstream: &Upstream,
+) -> Result<Report, String> {
+    let permit = leadership.call_slot().await;
     let report = reports::ask(caller, upstream).await;
     drop(permit);
-    duty.site.traffic.call(caller.take_bytes(), report.is_ok());
-    if let Some(known) = duty.known.borrow_mut().get_mut(&upstream.life) {
-        known.unreached = match report {
+    leadership.site.traffic.call(caller.take_bytes(), report.is_ok());
+    if let Some(known) = leadership.engine_states.borrow_mut().get_mut(&upstream.life) {
+        known.unreachable_since = match report {
             Ok(_) => None,
-            Err(_) => known.unreached.or(Some(duty.site.now())),
+            Err(_) => known.unreachable_since.or(Some(leadership.site.now())),
         };
     }
     report
 }
 
 /// Waits until the engine reports `weights`.
-async fn wait_changed(
-    duty: &Duty,
+async fn wait_until_changed(
+    leadership: &Leadership,
     upstream: &Rc<Upstream>,
     weights: &Weights,
     caller: &mut Caller,
     accepted: bool,
 ) -> End {
-    let begun = duty.site.now();
+    let begun = leadership.site.now();
     // An order that got no answer has most likely not arrived, so the engine is
     // polled earlier.
-    let mut pause = if accepted { FIRST_REPORT } else { QUESTION };
+    let mut pause = if accepted { FIRST_POLL_DELAY } else { QUESTION };
     let mut idle = 0;
     loop {
         tokio::time::sleep(pause).await;
-        pause = if accepted { duty.question_pause() } else { QUESTION };
-        let now = duty.site.now();
-        if duty.token().is_none() && now - begun > HANDED_ON {
+        pause = if accepted { leadership.poll_interval() } else { QUESTION };
+        let now = leadership.site.now();
+        if leadership.token().is_none() && now - begun > FORMER_LEADER_TIMEOUT {
             return End::Unknown("no longer leader".into());
         }
         // Announced again for hosts that did not receive the previous
         // announcement.
-        notices::close(&duty.site, std::slice::from_ref(upstream), weights);
+        notices::close(&leadership.site, std::slice::from_ref(upstream), weights);
         if upstream.weights(&weights.model) >= Some(weights.version) {
             return End::Changed;
         }
-        match ask(duty, caller, upstream).await {
+        match fetch_report(leadership, caller, upstream).await {
             Ok(report) if serves(&report, weights) => return End::Changed,
             Ok(report) if report.busy => idle = 0,
             Ok(_) if !accepted && idle >= 1 => return End::Failed("order not accepted".into()),
             Ok(_) => idle += 1,
-            Err(why) if now - begun > CHANGE_TIME / 2 => return End::Unknown(why),
+            Err(why) if now - begun > CHANGE_TIMEOUT / 2 => return End::Unknown(why),
             Err(_) => {}
         }
-        if now - begun > CHANGE_TIME {
+        if now - begun > CHANGE_TIMEOUT {
             return End::Unknown("engine did not change in time".into());
         }
     }
--- a/crates/router/src/proxy/duty/membership.rs
+++ b/crates/router/src/proxy/duty/membership.rs
@@ -11,7 +11,7 @@
 use marjoram_platform::store::{self, Membership};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Duty, GROUP, TOPIC, is_pending, lease, leave};
+use super::{GROUP, Leadership, TOPIC, is_rollout_pending, lease, leave};
 use crate::clock;
 use crate::proxy::site::Site;
 use crate::proxy::storeclient::Caller;
@@ -19,22 +19,22 @@
 use crate::proxy::traffic::Totals;
 
 /// The partition whose assignee is the leader.
-const DUTY: u32 = 0;
+const LEADER_PARTITION: u32 = 0;
 
 /// Renewals per lease.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_LEASE: u32 = 4;
 
 /// Time limit for connecting to the store and for its answer to a renewal.
-pub(super) const JOIN_ANSWER: Duration = Duration::from_millis(450);
+pub(super) const JOIN_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Time after the start, in addition to one heartbeat round, for receiving the
 /// other hosts' heartbeats before joining; and the time between two checks
 /// whether to join.
-const JOIN_DELAY: Duration = Duration::from_millis(400);
+const STARTUP_DELAY: Duration = Duration::from_millis(400);
 const JOIN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Delay after a renewal that failed.
-const JOIN_PAUSE: Duration = Duration::from_millis(200);
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Why a membership ended. The names are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,7 @@
         up: now,
         vacant: Duration::ZERO,
         round: site.peers.round(),
-        pending: is_pending(site),
+        pending: is_rollout_pending(site),
         rank: (site.room(), xxh3_64(site.settings.load().name.as_bytes())),
         errors: site.store_error.get().map(|at| now.saturating_sub(at)),
         others: site.peers.others(),
@@ -64,29 +64,29 @@
 }
 
 /// Joins the group whenever this host is to be a candidate, and leaves it again.
-pub(super) async fn stand(duty: Rc<Duty>) {
-    let site = &duty.site;
-    while !duty.released.get() {
-        wait_to_join(&duty).await;
-        let end = be_member(&duty).await;
+pub(super) async fn run(leadership: Rc<Leadership>) {
+    let site = &leadership.site;
+    while !leadership.released.get() {
+        wait_to_join(&leadership).await;
+        let end = maintain_membership(&leadership).await;
         site.stance.set(Stance::Idle);
         match end {
             End::Released => return,
-            End::Lapsed | End::OutOfReach => rest(&duty),
+            End::Lapsed | End::OutOfReach => defer_to_others(&leadership),
             End::Unneeded => {}
         }
-        leave(&duty).await;
+        leave(&leadership).await;
         tracing::info!(target: "duty", ?end, "no longer a candidate");
     }
 }
 
 /// Leaves leadership to hosts with a better link for a while.
-fn rest(duty: &Duty) {
-    duty.site.rest.set(duty.site.now() + REST);
+fn defer_to_others(leadership: &Leadership) {
+    leadership.site.rest.set(leadership.site.now() + REST);
 }
 
-async fn wait_to_join(duty: &Duty) {
-    let site = &duty.site;
+async fn wait_to_join(leadership: &Leadership) {
+    let site = &leadership.site;
     let mut occupied = site.now();
     loop {
         let now = site.now();
@@ -96,19 +96,19 @@
         }
         view.vacant = now - occupied;
         // A leader that knows no engines yet would order nothing.
-        let knows = site.catalog().is_some() && site.listed.get();
-        let acquainted = knows && now >= JOIN_DELAY + view.round;
-        if duty.released.get() || acquainted && view.joins() {
+        let knows_engines = site.catalog().is_some() && site.listed.get();
+        let is_informed = knows_engines && now >= STARTUP_DELAY + view.round;
+        if leadership.released.get() || is_informed && view.joins() {
             return;
         }
         tokio::time::sleep(JOIN_INTERVAL).await;
     }
 }
 
-async fn be_member(duty: &Rc<Duty>) -> End {
-    let site = &duty.site;
+async fn maintain_membership(leadership: &Rc<Leadership>) -> End {
+    let site = &leadership.site;
     let joined = site.now();
-    duty.hands_over.set(false);
+    leadership.hand_over_requested.set(false);
     tracing::info!(target: "duty", room = site.room().0, "became a candidate");
     let mut confirmed = None;
     // This clock counts time during which the process is suspended.
@@ -117,24 +117,24 @@
     let mut caller = Caller::new(site.settings.load().store.addr);
     let mut was_down = false;
     let mut before = site.traffic.totals();
-    while !duty.released.get() {
+    while !leadership.released.get() {
         site.stance.set(Stance::new(Some(joined), confirmed, lease(site), site.now()));
         let asked = clock::now();
         let lapse = asked.saturating_sub(renewed);
-        if lapse >= lease(site) && confirmed.is_some() && loses(site, lapse) {
+        if lapse >= lease(site) && confirmed.is_some() && is_own_fault(site, lapse) {
             return End::Lapsed;
         }
         let reply = join(site, &mut caller, token).await;
-        if duty.released.get() {
+        if leadership.released.get() {
             break;
         }
         match reply {
-            Ok((dealt, membership)) => {
+            Ok((assigned, membership)) => {
                 if std::mem::take(&mut was_down) {
                     tracing::info!(target: "duty",
                         "membership of the candidate group confirmed again");
                 }
-                token = dealt;
+                token = assigned;
                 before = site.traffic.totals();
                 confirmed = Some(site.now());
                 renewed = asked;
@@ -142,25 +142,33 @@
                     site.note_store_error();
                 }
                 site.stance.set(Stance::Stands);
-                duty.dealt(membership.parts.contains(&DUTY), token, asked);
+                leadership.handle_assignment(
+                    membership.parts.contains(&LEADER_PARTITION),
+                    token,
+                    asked,
+                );
             }
             Err(why) => {
                 if !std::mem::replace(&mut was_down, true) {
-                    log_lost(duty, &why, confirmed, before);
+                    log_unconfirmed(leadership, &why, confirmed, before);
                 }
                 site.note_store_error();
                 caller = Caller::new(site.settings.load().store.addr);
-                tokio::time::sleep(JOIN_PAUSE).await;
+                tokio::time::sleep(JOIN_RETRY_DELAY).await;
                 continue;
             }
         }
-        if duty.hands_over.take() && duty.tenure.borrow().is_held() {
+        if leadership.hand_over_requested.take() && leadership.tenure.borrow().is_held() {
             return End::OutOfReach;
         }
         if view(site).leaves() {
             return End::Unneeded;
         }
-        let pause = duty.tenure.borrow().pause(clock::now(), duty.turns(), RENEWALS);
+        let pause = leadership.tenure.borrow().pause(
+            clock::now(),
+            leadership.term_gap(),
+            RENEWALS_PER_LEASE,
+        );
         tokio::time::sleep(pause).await;
     }
     End::Released
@@ -176,7 +184,7 @@
     let settings = site.settings.load_full();
     let generation = last.generation_in(site.era.get().unwrap_or_default());
     let join = store::join(GROUP, &settings.name, TOPIC, lease(site), generation);
-    match caller.call(&join, &[], JOIN_ANSWER).await {
+    match caller.call(&join, &[], JOIN_TIMEOUT).await {
         Ok(reply) if reply.status == 200 => {
             site.note_era(reply.era);
             let membership = store::parse_join(&reply.body).map_err(|e| e.to_string())?;
@@ -190,14 +198,19 @@
 /// Whether a membership that was not confirmed for `lapse` was lost through this
 /// host's own fault. A host that receives no other host's heartbeats is itself
 /// cut off.
-fn loses(site: &Site, lapse: Duration) -> bool {
+fn is_own_fault(site: &Site, lapse: Duration) -> bool {
     site.peers.count() > 1 && view(site).rests(lapse)
 }
 
-fn log_lost(duty: &Duty, why: &str, confirmed: Option<Duration>, before: Totals) {
-    let site = &duty.site;
+fn log_unconfirmed(
+    leadership: &Leadership,
+    why: &str,
+    confirmed: Option<Duration>,
+    before: Totals,
+) {
+    let site = &leadership.site;
     let traffic = site.traffic.totals().since(before);
     let confirmed_ms = confirmed.map(|at| (site.now() - at).as_millis() as u64);
-    tracing::warn!(target: "duty", why, confirmed_ms, held = duty.tenure.borrow().is_held(),
+    tracing::warn!(target: "duty", why, confirmed_ms, held = leadership.tenure.borrow().is_held(),
         ?traffic, "membership of the candidate group not confirmed");
 }
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -20,15 +20,15 @@
 /// How long parts of a prefix path that were just read into an engine's cache are
 /// assumed to be cached without an event that confirms it: where this host reads
 /// the engine's events itself, and where another host forwards them.
-const ASSUMED_HELD: Duration = Duration::from_millis(400);
-const ASSUMED_HELD_RELAYED: Duration = Duration::from_millis(1_200);
+const ASSUMED_CACHED_TTL: Duration = Duration::from_millis(400);
+const FORWARDED_ASSUMED_CACHED_TTL: Duration = Duration::from_millis(1_200);
 
 /// Number of assumed parts per engine from which expired ones are dropped.
-const MAX_HELD: usize = 64;
+const MAX_ASSUMED_PARTS: usize = 64;
 
 /// How long another host's unreachable report counts, unless the upstream sends
 /// something.
-const DOUBT_TTL: Duration = Duration::from_millis(500);
+const UNREACHABLE_REPORT_TTL: Duration = Duration::from_millis(500);
 
 /// Outstanding requests at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
     /// Other hosts' requests there, from their last heartbeats.
     pub others: Cell<Load>,
     /// Until when other hosts' unreachable reports count.
-    doubted: Cell<Option<Duration>>,
+    reported_unreachable_until: Cell<Option<Duration>>,
     /// Parts in its caches, according to its events.
     pub kept: RefCell<Holdings>,
     /// This host is reading its events.
@@ -80,7 +80,7 @@
     /// A request for the weights that it serves is in progress.
     pub asking: Cell<bool>,
     /// When parts were last read into its caches, by this host's requests.
-    held: RefCell<HashMap<(CacheId, PartId), Duration>>,
+    assumed_parts: RefCell<HashMap<(CacheId, PartId), Duration>>,
 }
 
 impl Upstream {
@@ -95,11 +95,11 @@
             pool: Pool::default(),
             own: Cell::default(),
             others: Cell::default(),
-            doubted: Cell::default(),
+            reported_unreachable_until: Cell::default(),
             kept: RefCell::default(),
             followed: Cell::default(),
             asking: Cell::default(),
-            held: RefCell::default(),
+            assumed_parts: RefCell::default(),
         }
     }
 
@@ -125,9 +125,9 @@
     }
 
     /// Takes in another host's report that the upstream is unreachable.
-    pub fn heard_doubt(&self, now: Duration) {
-        if !self.health.borrow().was_alive(now, DOUBT_TTL) && !self.is_doubted(now) {
-            self.doubted.set(Some(now + DOUBT_TTL));
+    pub fn note_unreachable_report(&self, now: Duration) {
+        if !self.health.borrow().was_alive(now, UNREACHABLE_REPORT_TTL) && !self.is_doubted(now) {
+            self.reported_unreachable_until.set(Some(now + UNREACHABLE_REPORT_TTL));
             self.pool.clear();
         }
     }
@@ -135,14 +135,14 @@
     /// Whether another host's unreachable report counts at `now`: this host has
     /// received nothing from the upstream since.
     pub fn is_doubted(&self, now: Duration) -> bool {
-        self.doubted.get().is_some_and(|until| now < until)
-            && !self.health.borrow().was_alive(now, DOUBT_TTL)
+        self.reported_unreachable_until.get().is_some_and(|until| now < until)
+            && !self.health.borrow().was_alive(now, UNREACHABLE_REPORT_TTL)
     }
 
     /// Whether another host's unreachable report counted within `span` before
     /// `now`.
-    pub fn was_doubted(&self, now: Duration, span: Duration) -> bool {
-        self.doubted.get().is_some_and(|until| now < until + span)
+    pub fn was_reported_unreachable(&self, now: Duration, span: Duration) -> bool {
+        self.reported_unreachable_until.get().is_some_and(|until| now < until + span)
     }
 
     /// The version of the weights of `model` that it serves.
@@ -171,7 +171,7 @@
             Some(weights) if version > weights.version => {
                 weights.version = version;
                 self.closed.set(None);
-                self.held.borrow_mut().clear();
+                self.assumed_parts.borrow_mut().clear();
                 self.kept.borrow_mut().clear();
             }
             _ => {}
@@ -184,7 +184,7 @@
     }
 
     /// Whether `entry` describes this incarnation, in the same service.
-    fn is_stated_by(&self, entry: &Entry) -> bool {
+    fn is_updated_by(&self, entry: &Entry) -> bool {
         entry.life == self.life && entry.service == self.entry.borrow().service
     }
 
@@ -197,8 +197,8 @@
     /// to its events, or because this host has just sent it a prompt that begins
     /// with them.
     pub fn held(&self, cache: CacheId, shared: &[Part], now: Duration) -> u64 {
-        let span = self.held_span();
-        let known = self.held.borrow();
+        let span = self.assumed_cached_ttl();
+        let known = self.assumed_parts.borrow();
         let read = |p: &Part| known.get(&(cache, p.id)).is_some_and(|at| now < *at + span);
         self.kept.borrow().held_or(cache, shared, read)
     }
@@ -206,18 +206,18 @@
     /// Records that a prompt with the prefix path `shared` was read into `cache`
     /// at `now`.
     pub fn hold(&self, cache: CacheId, shared: &[Part], now: Duration) {
-        let span = self.held_span();
-        let mut held = self.held.borrow_mut();
-        if held.len() >= MAX_HELD {
+        let span = self.assumed_cached_ttl();
+        let mut held = self.assumed_parts.borrow_mut();
+        if held.len() >= MAX_ASSUMED_PARTS {
             held.retain(|_, at| now < *at + span);
         }
         held.extend(shared.iter().map(|part| ((cache, part.id), now)));
     }
 
-    fn held_span(&self) -> Duration {
+    fn assumed_cached_ttl(&self) -> Duration {
         match self.followed.get() {
-            true => ASSUMED_HELD,
-            false => ASSUMED_HELD_RELAYED,
+            true => ASSUMED_CACHED_TTL,
+            false => FORWARDED_ASSUMED_CACHED_TTL,
         }
     }
 }
@@ -226,7 +226,7 @@
 pub struct Flight {
     upstream: Rc<Upstream>,
     load: Load,
-    waits: bool,
+    awaiting_first_output: bool,
 }
 
 impl Flight {
@@ -235,7 +235,7 @@
         let load = Load { running: 1, unread, memory };
         upstream.own.set(upstream.own.get().plus(load));
         upstream.health.borrow_mut().wait(now);
-        Self { upstream, load, waits: true }
+        Self { upstream, load, awaiting_first_output: true }
     }
 
     /// Records that the prompt has been processed, or that the answer has begun.
@@ -243,7 +243,7 @@
         let unread = std::mem::take(&mut self.load.unread);
         let own = self.upstream.own.get();
         self.upstream.own.set(Load { unread: own.unread.saturating_sub(unread), ..own });
-        if std::mem::take(&mut self.waits) {
+        if std::mem::take(&mut self.awaiting_first_output) {
             self.upstream.health.borrow_mut().unwait();
         }
     }
@@ -272,11 +272,11 @@
     /// Adds or updates an upstream. A restarted upstream replaces its former
     /// incarnation, of which nothing is kept. So does an entry for another
     /// service, which may come from another writer.
-    pub fn enter(&self, entry: &Entry) {
+    pub fn upsert(&self, entry: &Entry) {
         let known = self.all.borrow().get(&entry.life.id).cloned();
         match known {
             Some(upstream) if entry.life.born < upstream.life.born => {}
-            Some(upstream) if upstream.is_stated_by(entry) => {
+            Some(upstream) if upstream.is_updated_by(entry) => {
                 {
                     let mut own = upstream.entry.borrow_mut();
                     own.leaving = entry.leaving;
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -34,7 +34,7 @@
 const RECALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Long-poll time: how long the store is asked to wait for a new record.
-const WAIT: Duration = Duration::from_secs(25);
+const LONG_POLL: Duration = Duration::from_secs(25);
 
 /// The offset at which to continue reading, and the era of the store to which it
 /// belongs.
@@ -47,7 +47,7 @@
 impl Offset {
     /// Whether the offset is still valid: the store has not been restored from a
     /// copy since.
-    fn holds(&self, site: &Site) -> bool {
+    fn is_current(&self, site: &Site) -> bool {
         site.era.get() == Some(self.era)
     }
 }
@@ -80,7 +80,7 @@
 
     /// Waits after `read` until the next one is due; returns the offset at which
     /// to continue.
-    async fn rest(&mut self, site: &Rc<Site>, read: Read) -> u64 {
+    async fn wait_next(&mut self, site: &Rc<Site>, read: Read) -> u64 {
         if let Some(pause) = Self::pause(site) {
             tokio::time::sleep(pause).await;
         }
@@ -89,7 +89,7 @@
 
     /// Upper limit of a random delay before the records are listed in a new era
     /// of the store, so that many hosts do not list them at once.
-    fn spread(_site: &Site) -> Duration {
+    fn relist_jitter(_site: &Site) -> Duration {
         Duration::ZERO
     }
 
@@ -105,7 +105,7 @@
     let mut from: Option<Offset> = None;
     loop {
         let asked = site.now();
-        let valid = from.filter(|from| from.holds(&site));
+        let valid = from.filter(|from| from.is_current(&site));
         let result = match valid {
             None => list(&site, &mut caller, &mut sink, from).await,
             Some(at) => tokio::select! {
@@ -136,10 +136,10 @@
                 let read = next.map(|next| Read { span: span(next), asked });
                 sink.done(&site, read);
                 from = match read {
-                    Some(read) => Some(rest(&site, &mut sink, read).await),
+                    Some(read) => Some(wait_next(&site, &mut sink, read).await),
                     // The era is outdated, or the records at this offset have
                     // been deleted.
-                    None => from.filter(|from| !from.holds(&site)),
+                    None => from.filter(|from| !from.is_current(&site)),
                 };
             }
             Err(why) => {
@@ -155,12 +155,12 @@
 
 /// Waits until the next read is due or a newer era of the store is known; returns
 /// where to continue.
-async fn rest<S: Sink>(site: &Rc<Site>, sink: &mut S, read: Read) -> Offset {
+async fn wait_next<S: Sink>(site: &Rc<Site>, sink: &mut S, read: Read) -> Offset {
     let Span { era, next, .. } = read.span;
     let at = tokio::select! {
-        at = sink.rest(site, read) => at,
-        () = outdated(site, era) => {
-            tokio::time::sleep(S::spread(site).mul_f64(rand::random())).await;
+        at = sink.wait_next(site, read) => at,
+        () = newer_era(site, era) => {
+            tokio::time::sleep(S::relist_jitter(site).mul_f64(rand::random())).await;
             next
         }
     };
@@ -168,13 +168,13 @@
 }
 
 /// Waits until an era newer than `era` is known.
-async fn outdated(site: &Site, era: Era) {
+async fn newer_era(site: &Site, era: Era) {
     loop {
-        let told = site.regained.notified();
+        let notified = site.regained.notified();
         if site.era.get() > Some(era) {
             return;
         }
-        told.await;
+        notified.await;
     }
 }
 
@@ -197,7 +197,7 @@
             return Err(format!("list of {}: status {}", S::TOPIC, reply.status));
         }
         let page = store::parse_newest(&reply.body).map_err(|e| e.to_string())?;
-        note_strange(S::TOPIC, &page.strange);
+        log_unparsed(S::TOPIC, &page.strange);
         // The pages of a listing are no consistent snapshot, so reading continues
         // at the end offset of the first page.
         let first = end.is_none();
@@ -230,7 +230,7 @@
     sink: &mut S,
     from: Offset,
 ) -> Result<Option<Offset>, String> {
-    let wait = if S::pause(site).is_none() { WAIT } else { Duration::ZERO };
+    let wait = if S::pause(site).is_none() { LONG_POLL } else { Duration::ZERO };
     let Offset { era, at } = from;
     let reply = call(site, caller, &store::read(S::TOPIC, at, wait), wait + ANSWER).await?;
     match reply.status {
@@ -239,7 +239,7 @@
         _ if reply.era != era => Ok(None),
         200 => {
             let page = store::page(at, &reply.body).map_err(|e| e.to_string())?;
-            note_strange(S::TOPIC, &page.strange);
+            log_unparsed(S::TOPIC, &page.strange);
             page.records.iter().for_each(|r| sink.record(site, &r.record, Some(r.offset)));
             Ok(Some(Offset { era, at: page.next }))
         }
@@ -253,7 +253,7 @@
 }
 
 /// Logs records that could not be parsed; they are skipped.
-fn note_strange(topic: &str, strange: &[String]) {
+fn log_unparsed(topic: &str, strange: &[String]) {
     for why in strange {
         tracing::error!(target: "store", topic, why, "cannot parse record; skipped");
     }
@@ -261,7 +261,7 @@
 
 /// Starts reading the store.
 pub fn start(site: &Rc<Site>) {
-    ntex::rt::spawn(recall(site.clone()));
+    ntex::rt::spawn(end_recall_wait(site.clone()));
     ntex::rt::spawn(follow(site.clone(), Operators::default()));
     ntex::rt::spawn(follow(site.clone(), Upstreams::default()));
     let written = Rc::new(Cell::new(false));
@@ -277,7 +277,7 @@
 
 /// Lets the host take callers after `RECALL_TIMEOUT`, also if the hosts' records
 /// have not been read by then.
-async fn recall(site: Rc<Site>) {
+async fn end_recall_wait(site: Rc<Site>) {
     tokio::time::sleep(RECALL_TIMEOUT).await;
     site.recalled.set(true);
 }
--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -30,7 +30,7 @@
 /// Longest random delay before a host lists the records again after the store was
 /// restored from a copy. It grows with the number of hosts, which would otherwise
 /// all list them at once.
-const RELIST: Duration = Duration::from_millis(250);
+const RELIST_JITTER: Duration = Duration::from_millis(250);
 
 pub(super) struct Hosts {
     /// Records seen so far in the listing in progress.
@@ -49,8 +49,8 @@
     /// it lacks.
     fn restore(&self, site: &Rc<Site>, listed: &Listed) {
         let (key, own) = own_record(site);
-        let lacks = listed.get(&key) != Some(&own);
-        if lacks && self.written.get() && site.stopping.get().is_none() {
+        let is_missing = listed.get(&key) != Some(&own);
+        if is_missing && self.written.get() && site.stopping.get().is_none() {
             tracing::warn!(target: "store",
                 "own host record is missing in the store; writing it again");
             ntex::rt::spawn(register(site.clone(), self.written.clone()));
@@ -64,7 +64,7 @@
     (site.settings.load().name.clone(), value)
 }
 
-fn many(site: &Site) -> u32 {
+fn interval_factor(site: &Site) -> u32 {
     site.peers.count().div_ceil(FRESH_HOSTS) as u32
 }
 
@@ -72,11 +72,11 @@
     const TOPIC: &'static str = store::HOSTS;
 
     fn pause(site: &Site) -> Option<Duration> {
-        Some(HOSTS_POLL * many(site))
+        Some(HOSTS_POLL * interval_factor(site))
     }
 
-    fn spread(site: &Site) -> Duration {
-        RELIST * many(site)
+    fn relist_jitter(site: &Site) -> Duration {
+        RELIST_JITTER * interval_factor(site)
     }
 
     fn record(&mut self, site: &Site, record: &Record, offset: Option<u64>) {
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -77,11 +77,11 @@
 pub fn name_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
     let mut all = site.named.borrow_mut();
     let named = all.entry(model.to_string()).or_default();
-    let news = match fresh {
+    let is_new = match fresh {
         true => named.name(version, site.now()),
         false => named.found(version, site.now()),
     };
-    if news {
+    if is_new {
         tracing::info!(target: "weights", model, version, source, "new weights version announced");
         site.duty.notify_one();
     }
--- a/crates/router/src/proxy/follow/relay.rs
+++ b/crates/router/src/proxy/follow/relay.rs
@@ -18,7 +18,7 @@
 use super::Read;
 use crate::clock;
 use crate::proxy::hosts::Message;
-use crate::proxy::relays::{News, Relay};
+use crate::proxy::relays::{RegistryChanges, Relay};
 use crate::proxy::site::Site;
 
 /// Hosts that read for all, those with the most capacity. Two of them may be down
@@ -27,7 +27,7 @@
 
 /// Most changes sent in one message, so that they fit into a datagram. Hosts that
 /// miss more read for themselves.
-const MAX_NEWS: usize = 80;
+const MAX_CHANGES: usize = 80;
 
 /// A host's part in reading the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,13 +52,13 @@
 }
 
 /// Sends the other hosts what this one has read, if it is a reader.
-pub fn tell(site: &Rc<Site>, read: Read, news: News) {
-    let (span, news) = site.relays.add(read.span, news);
+pub fn send_update(site: &Rc<Site>, read: Read, changes: RegistryChanges) {
+    let (span, changes) = site.relays.add(read.span, changes);
     if Role::of(site) != Role::Reader {
         site.relays.drop_weights();
         return;
     }
-    if news.len() > MAX_NEWS {
+    if changes.len() > MAX_CHANGES {
         return;
     }
     let weights = site.relays.next_weights();
@@ -67,6 +67,6 @@
     let asked = clock::now().saturating_sub(site.now().saturating_sub(read.asked));
     site.peers.spread(1, move || {
         let age = clock::now().saturating_sub(asked).as_millis() as u64;
-        Message::Relay(Relay { age, span, news: news.clone(), weights: weights.clone() })
+        Message::Relay(Relay { age, span, changes: changes.clone(), weights: weights.clone() })
     });
 }
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -15,7 +15,7 @@
 
 use super::relay::{self, Role};
 use super::{Read, Sink};
-use crate::proxy::relays::{News, Relay, Statement};
+use crate::proxy::relays::{RegistryChanges, RegistryRecord, Relay};
 use crate::proxy::site::Site;
 
 /// Share of the bound on leaving upstreams that passes between two reads of their
@@ -29,32 +29,32 @@
 
 /// What a record changed for this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Meaning {
+enum Effect {
     /// Nothing changed.
-    Known,
+    Unchanged,
     /// Only an upstream's weights changed.
     Weights,
     /// Something else changed.
-    News,
+    Other,
 }
 
 /// Applies a record to this host's registry.
-fn apply(statement: &Statement, site: &Site) -> Meaning {
-    let (id, now) = (statement.id(), site.now());
+fn apply(registry_record: &RegistryRecord, site: &Site) -> Effect {
+    let (id, now) = (registry_record.id(), site.now());
     let missing = site.registry.borrow().is_missing(id);
-    let change = match statement {
-        Statement::Stated(entry) => site.registry.borrow_mut().state(entry.clone(), now),
-        Statement::Gone(id) => site.registry.borrow_mut().unlist(id, now),
-        Statement::Foreign(id) => site.registry.borrow_mut().spoil(id, now),
+    let change = match registry_record {
+        RegistryRecord::Entry(entry) => site.registry.borrow_mut().state(entry.clone(), now),
+        RegistryRecord::Deleted(id) => site.registry.borrow_mut().unlist(id, now),
+        RegistryRecord::Invalid(id) => site.registry.borrow_mut().spoil(id, now),
     };
     upstream_changed(site, id, &change);
     match change {
         // An upstream that reappears unchanged is a change for other hosts that
         // list it as missing, too.
-        _ if missing => Meaning::News,
-        Change::None => Meaning::Known,
-        Change::Weights => Meaning::Weights,
-        _ => Meaning::News,
+        _ if missing => Effect::Other,
+        Change::None => Effect::Unchanged,
+        Change::Weights => Effect::Weights,
+        _ => Effect::Other,
     }
 }
 
@@ -65,7 +65,7 @@
         Change::None => return,
         Change::Joined | Change::Changed | Change::Weights | Change::Reborn => {
             if let Some(entry) = site.registry.borrow().get(id) {
-                site.fleet.enter(entry);
+                site.fleet.upsert(entry);
                 tracing::info!(target: "registry", upstream = %entry.life, ?change, beat = entry.beat,
                     leaving = entry.leaving, service = entry.service, "upstream entry changed");
             }
@@ -87,36 +87,36 @@
 pub(super) struct Upstreams {
     /// Hash of the last invalid record of each key, so that it is logged once and
     /// not at each read.
-    strange: HashMap<UpstreamId, u64>,
+    last_invalid: HashMap<UpstreamId, u64>,
     /// Changes in the records just read, with their offsets.
-    news: News,
+    changes: RegistryChanges,
 }
 
 impl Upstreams {
     /// Parses `record`; an invalid one is logged once.
-    fn parse(&mut self, record: &Record) -> Statement {
+    fn parse(&mut self, record: &Record) -> RegistryRecord {
         let id = UpstreamId(record.key.clone());
-        let Some(value) = &record.value else { return Statement::Gone(id) };
+        let Some(value) = &record.value else { return RegistryRecord::Deleted(id) };
         match registry::parse(&record.key, value) {
             Ok(entry) => {
-                self.strange.remove(&id);
-                Statement::Stated(entry)
+                self.last_invalid.remove(&id);
+                RegistryRecord::Entry(entry)
             }
             Err(error) => {
                 let hash = xxh3_64(value);
-                if self.strange.insert(id.clone(), hash) != Some(hash) {
+                if self.last_invalid.insert(id.clone(), hash) != Some(hash) {
                     tracing::error!(target: "registry", upstream = %id, %error,
                         "cannot parse registry entry; it adds no upstream");
                 }
-                Statement::Foreign(id)
+                RegistryRecord::Invalid(id)
             }
         }
     }
 
     /// Applies the changes from offset `after` on that another host has read.
-    fn hear(&self, site: &Site, relay: &Relay, after: u64) {
-        for (_, statement) in relay.news.iter().filter(|(offset, _)| *offset >= after) {
-            apply(statement, site);
+    fn apply_relay(&self, site: &Site, relay: &Relay, after: u64) {
+        for (_, registry_record) in relay.changes.iter().filter(|(offset, _)| *offset >= after) {
+            apply(registry_record, site);
         }
         expire(site);
     }
@@ -142,10 +142,10 @@
     }
 
     fn record(&mut self, site: &Site, record: &Record, offset: Option<u64>) {
-        let statement = self.parse(record);
-        match (apply(&statement, site), offset) {
-            (Meaning::News, Some(offset)) => self.news.push((offset, statement)),
-            (Meaning::Weights, Some(_)) => site.relays.note_weights(&statement),
+        let registry_record = self.parse(record);
+        match (apply(&registry_record, site), offset) {
+            (Effect::Other, Some(offset)) => self.changes.push((offset, registry_record)),
+            (Effect::Weights, Some(_)) => site.relays.note_weights(&registry_record),
             _ => {}
         }
     }
@@ -160,14 +160,14 @@
     }
 
     fn done(&mut self, site: &Rc<Site>, read: Option<Read>) {
-        let news = std::mem::take(&mut self.news);
+        let changes = std::mem::take(&mut self.changes);
         if let Some(read) = read {
-            relay::tell(site, read, news);
+            relay::send_update(site, read, changes);
         }
         expire(site);
     }
 
-    async fn rest(&mut self, site: &Rc<Site>, read: Read) -> u64 {
+    async fn wait_next(&mut self, site: &Rc<Site>, read: Read) -> u64 {
         let pause = Self::pause(site).unwrap_or_default();
         let own = match Role::of(site) {
             Role::Alone => Some(pause),
@@ -181,15 +181,15 @@
         let mut position = Position::new(read.span.era, read.span.next, read.asked);
         loop {
             let left = position.due(pause).saturating_sub(site.now());
-            let Ok(heard) = tokio::time::timeout(left, site.relays.next()).await else {
+            let Ok(received) = tokio::time::timeout(left, site.relays.next()).await else {
                 return position.at();
             };
-            match position.take(heard.relay.span, heard.asked) {
+            match position.take(received.relay.span, received.asked) {
                 Taken::Old => {}
                 Taken::Gap => return position.at(),
                 Taken::New { after } => {
-                    self.hear(site, &heard.relay, after);
-                    site.soundness.borrow_mut().good(heard.asked);
+                    self.apply_relay(site, &received.relay, after);
+                    site.soundness.borrow_mut().good(received.asked);
                 }
             }
         }
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -25,7 +25,7 @@
 
 use super::fleet::Load;
 use super::traffic::Traffic;
-pub use message::{Extent, Hello, HostRecord, Message, Notice};
+pub use message::{Heartbeat, HostRecord, Message, Notice, StateVersions};
 
 /// Time between two rounds of heartbeats, each to the next few peers.
 pub const PERIOD: Duration = Duration::from_millis(100);
@@ -37,23 +37,23 @@
 /// How long a peer may be silent before it counts as gone, and, where there are
 /// many hosts, how many of its heartbeats may be missed: rarely is more than one
 /// in forty lost.
-const SILENCE: Duration = Duration::from_millis(1_225);
-const MAX_MISSES: u32 = 3;
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(1_225);
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// Heartbeats that must be missed before another incarnation of a peer is
 /// accepted: a late datagram of a process that has ended arrives while the new
 /// process sends heartbeats.
-const QUIET: u32 = 2;
+const MISSED_BEFORE_NEW_INCARNATION: u32 = 2;
 
 /// Multiple of the allowed silence after which other hosts take over a silent
 /// host's work. A host that merely restarts is back before.
-const GONE: u32 = 2;
+const GONE_FACTOR: u32 = 2;
 
 #[derive(Debug, Clone)]
 struct Peer {
     record: HostRecord,
-    entered: Duration,
-    heard: Option<Duration>,
+    added: Duration,
+    last_heartbeat: Option<Duration>,
     open: bool,
     stance: Stance,
     room: Room,
@@ -69,7 +69,7 @@
     socket: RefCell<Option<Rc<UdpSocket>>>,
     /// The time of the last heartbeat round.
     pub now: Cell<Duration>,
-    turn: Cell<usize>,
+    next_target: Cell<usize>,
     traffic: Rc<Traffic>,
     link: LinkSpeed,
 }
@@ -88,7 +88,7 @@
             known: RefCell::default(),
             socket: RefCell::default(),
             now: Cell::default(),
-            turn: Cell::default(),
+            next_target: Cell::default(),
             traffic,
             link: settings.capacity.link,
         }
@@ -98,25 +98,25 @@
     pub fn list(&self, name: &str, record: Option<HostRecord>) {
         match record {
             None => drop(self.known.borrow_mut().remove(name)),
-            Some(record) => self.enter(name, record, "store"),
+            Some(record) => self.add(name, record, "store"),
         }
     }
 
     /// Adds a host's record received from `source`, unless another incarnation of
     /// that host is still sending heartbeats.
-    fn enter(&self, name: &str, record: HostRecord, source: &str) {
-        let (now, quiet) = (self.now.get(), self.round() * QUIET);
+    fn add(&self, name: &str, record: HostRecord, source: &str) {
+        let (now, silence) = (self.now.get(), self.round() * MISSED_BEFORE_NEW_INCARNATION);
         let mut known = self.known.borrow_mut();
         match known.get(name) {
             _ if name == self.name => {}
-            Some(peer) if peer.record == record || peer.is_heard(now, quiet) => {}
+            Some(peer) if peer.record == record || peer.is_alive(now, silence) => {}
             _ => {
                 tracing::info!(target: "peers", host = name, addr = %record.peers, source,
                     "host added");
                 let peer = Peer {
                     record,
-                    entered: now,
-                    heard: None,
+                    added: now,
+                    last_heartbeat: None,
                     open: false,
                     stance: Stance::Idle,
                     room: Room::default(),
@@ -135,9 +135,9 @@
 
     /// The candidate status and rank of the other hosts that take callers.
     pub fn others(&self) -> Vec<Other> {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
-        let others = known.iter().filter(|(_, p)| p.open && p.is_heard(now, patience));
+        let others = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
         let other = |(name, p): (&String, &Peer)| Other {
             stance: p.stance,
             rank: (p.room, xxh3_64(name.as_bytes())),
@@ -149,8 +149,8 @@
     /// How long ago at `now` the other hosts last had a store error, and the
     /// number of other hosts whose heartbeats are received.
     pub fn store_errors(&self, now: Duration) -> (Vec<Duration>, usize) {
-        let (patience, known) = (self.patience(), self.known.borrow());
-        let heard = known.values().filter(|p| p.is_heard(now, patience));
+        let (peer_timeout, known) = (self.peer_timeout(), self.known.borrow());
+        let heard = known.values().filter(|p| p.is_alive(now, peer_timeout));
         let ages = heard.clone().filter_map(|p| p.store_error).map(|at| now.saturating_sub(at));
         (ages.collect(), heard.count())
     }
@@ -158,31 +158,31 @@
     /// Whether this host, with capacity `room`, is among the `count` hosts with
     /// the most capacity, of those whose heartbeats are received.
     pub fn has_most_room(&self, room: Room, count: usize) -> bool {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let own = (room, xxh3_64(self.name.as_bytes()));
         let known = self.known.borrow();
-        let heard = known.iter().filter(|(_, p)| p.is_heard(now, patience));
+        let heard = known.iter().filter(|(_, p)| p.is_alive(now, peer_timeout));
         heard.filter(|(name, p)| (p.room, xxh3_64(name.as_bytes())) > own).count() < count
     }
 
     /// Whether this host is among the first `count` by rendezvous hashing of
     /// `key`, of all hosts that have not been gone for long.
     pub fn ranks_within(&self, key: u64, count: usize) -> bool {
-        self.above(key).len() < count
+        self.ranked_above(key).len() < count
     }
 
     /// The other hosts among the first `count` by rendezvous hashing of `key`.
     pub fn first_ranked(&self, key: u64, count: usize) -> Vec<SocketAddr> {
-        let above = self.above(key).len();
+        let ranked_above = self.ranked_above(key).len();
         let mut ranked = self.ranked(key);
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         // This host takes one of these places if it ranks high enough.
-        let others = count - usize::from(above < count);
+        let others = count - usize::from(ranked_above < count);
         ranked.into_iter().take(others).map(|(_, addr)| addr).collect()
     }
 
     /// The other hosts that rank above this one for `key`.
-    fn above(&self, key: u64) -> Vec<(u64, SocketAddr)> {
+    fn ranked_above(&self, key: u64) -> Vec<(u64, SocketAddr)> {
         let own = place::rank(key, xxh3_64(self.name.as_bytes()));
         let mut ranked = self.ranked(key);
         ranked.retain(|(rank, _)| *rank > own);
@@ -192,10 +192,11 @@
     /// The other hosts that have not been gone for long, with their ranks for
     /// `key`.
     fn ranked(&self, key: u64) -> Vec<(u64, SocketAddr)> {
-        let (now, gone) = (self.now.get(), self.patience() * GONE);
+        let (now, gone) = (self.now.get(), self.peer_timeout() * GONE_FACTOR);
         let known = self.known.borrow();
-        let there = known.iter().filter(|(_, p)| now < p.heard.unwrap_or(p.entered) + gone);
-        there
+        let present =
+            known.iter().filter(|(_, p)| now < p.last_heartbeat.unwrap_or(p.added) + gone);
+        present
             .map(|(name, p)| (place::rank(key, xxh3_64(name.as_bytes())), p.record.peers))
             .collect()
     }
@@ -204,10 +205,10 @@
     /// heartbeats and take callers. This host is `None` in the result; it takes
     /// part with the capacity `own`, if given.
     pub fn roomiest(&self, group: u64, count: usize, own: Option<Room>) -> Vec<Option<SocketAddr>> {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let rank = |name: &str, room| (room, place::rank(group, xxh3_64(name.as_bytes())));
         let known = self.known.borrow();
-        let heard = known.iter().filter(|(_, p)| p.open && p.is_heard(now, patience));
+        let heard = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
         let mut ranked: Vec<_> =
             heard.map(|(name, p)| (rank(name, p.room), Some(p.record.peers))).collect();
         ranked.extend(own.map(|room| (rank(&self.name, room), None)));
@@ -218,19 +219,20 @@
     /// The hosts as the quota accounts need them: how many send heartbeats, and
     /// which have been silent for less than `span`.
     pub fn reach(&self, span: Duration) -> Hosts {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
-        let heard = known.values().filter(|p| p.is_heard(now, patience)).count() + 1;
-        let lately = |p: &Peer| now < p.heard.unwrap_or(p.entered) + span;
-        let silent = known.iter().filter(|(_, p)| !p.is_heard(now, patience) && lately(p));
+        let heard = known.values().filter(|p| p.is_alive(now, peer_timeout)).count() + 1;
+        let recent_timeout = |p: &Peer| now < p.last_heartbeat.unwrap_or(p.added) + span;
+        let silent =
+            known.iter().filter(|(_, p)| !p.is_alive(now, peer_timeout) && recent_timeout(p));
         Hosts { heard, silent: silent.map(|(name, _)| xxh3_64(name.as_bytes())).collect() }
     }
 
     /// Addresses at which the other hosts take callers, of those that do.
     pub fn open(&self) -> Vec<SocketAddr> {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
-        let open = known.values().filter(|p| p.open && p.is_heard(now, patience));
+        let open = known.values().filter(|p| p.open && p.is_alive(now, peer_timeout));
         open.map(|p| p.record.callers).collect()
     }
 
@@ -240,36 +242,36 @@
     }
 
     /// How long a host may be silent before it counts as gone.
-    fn patience(&self) -> Duration {
-        SILENCE.max(self.round() * MAX_MISSES)
+    fn peer_timeout(&self) -> Duration {
+        MIN_PEER_TIMEOUT.max(self.round() * MAX_MISSED_HEARTBEATS)
     }
 
     /// Takes in a heartbeat received at `now`.
-    pub fn hear(&self, hello: Hello, now: Duration) {
-        self.enter(&hello.name, hello.record.clone(), "greeting");
+    pub fn receive_heartbeat(&self, heartbeat: Heartbeat, now: Duration) {
+        self.add(&heartbeat.name, heartbeat.record.clone(), "greeting");
         let mut known = self.known.borrow_mut();
-        let Some(peer) = known.get_mut(&hello.name) else { return };
-        if peer.record != hello.record {
+        let Some(peer) = known.get_mut(&heartbeat.name) else { return };
+        if peer.record != heartbeat.record {
             return;
         }
-        if peer.open != hello.open || peer.heard.is_none() {
-            tracing::info!(target: "peers", host = hello.name, open = hello.open,
+        if peer.open != heartbeat.open || peer.last_heartbeat.is_none() {
+            tracing::info!(target: "peers", host = heartbeat.name, open = heartbeat.open,
                 "first heartbeat of host, or its readiness changed");
         }
-        peer.heard = Some(now);
-        peer.open = hello.open;
-        peer.stance = hello.stance;
-        peer.room = hello.room;
+        peer.last_heartbeat = Some(now);
+        peer.open = heartbeat.open;
+        peer.stance = heartbeat.stance;
+        peer.room = heartbeat.room;
         peer.store_error =
-            hello.store_error.map(|ms| now.saturating_sub(Duration::from_millis(ms)));
-        peer.loads = hello.loads;
+            heartbeat.store_error.map(|ms| now.saturating_sub(Duration::from_millis(ms)));
+        peer.loads = heartbeat.loads;
     }
 
     /// Sum of the other hosts' requests at each upstream, by the upstream's key.
     pub fn loads(&self) -> HashMap<u64, Load> {
-        let (now, patience) = (self.now.get(), self.patience());
+        let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let mut sums: HashMap<u64, Load> = HashMap::new();
-        for peer in self.known.borrow().values().filter(|p| p.is_heard(now, patience)) {
+        for peer in self.known.borrow().values().filter(|p| p.is_alive(now, peer_timeout)) {
             for (key, load) in &peer.loads {
                 let sum = sums.entry(*key).or_default();
                 *sum = sum.plus(*load);
@@ -287,7 +289,7 @@
     pub fn state(&self, now: Duration) -> serde_json::Value {
         let known = self.known.borrow();
         let state = |(name, p): (&String, &Peer)| {
-            let heard = p.heard.map(|at| now.saturating_sub(at).as_millis() as u64);
+            let heard = p.last_heartbeat.map(|at| now.saturating_sub(at).as_millis() as u64);
             serde_json::json!({ "name": name, "callers": p.record.callers, "open": p.open,
                 "heard_ms_ago": heard })
         };
@@ -306,14 +308,14 @@
             known.iter().map(|(n, p)| (n, p.record.peers)).collect();
         names.sort();
         let all = names.len();
-        let first = self.turn.get();
-        self.turn.set((first + count.min(all)) % all.max(1));
+        let first = self.next_target.get();
+        self.next_target.set((first + count.min(all)) % all.max(1));
         (0..count.min(all)).map(|i| names[(first + i) % all].1).collect()
     }
 }
 
 impl Peer {
-    fn is_heard(&self, now: Duration, patience: Duration) -> bool {
-        self.heard.is_some_and(|at| now < at + patience)
+    fn is_alive(&self, now: Duration, peer_timeout: Duration) -> bool {
+        self.last_heartbeat.is_some_and(|at| now < at + peer_timeout)
     }
 }
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::message::Message;
-use super::{FANOUT, GONE, Hello, Peer, Peers, SILENCE};
+use super::{FANOUT, GONE_FACTOR, Heartbeat, MIN_PEER_TIMEOUT, Peer, Peers};
 use crate::proxy::traffic::Traffic;
 
 /// Hosts that are sent a message at once, and the shortest pause before the next
@@ -28,9 +28,14 @@
 
 impl Peers {
     /// Sends a heartbeat to the next few hosts.
-    pub fn greet(&self, hello: Hello) {
+    pub fn send_heartbeat(&self, heartbeat: Heartbeat) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        send(&socket, &self.traffic, &Message::Hello(Box::new(hello)), &self.targets(FANOUT));
+        send(
+            &socket,
+            &self.traffic,
+            &Message::Heartbeat(Box::new(heartbeat)),
+            &self.targets(FANOUT),
+        );
     }
 
     /// Sends `message` to the host at `addr`.
@@ -43,16 +48,16 @@
     /// it.
     pub fn broadcast(&self, message: &Message) -> Burst {
         let Some(socket) = self.socket.borrow().clone() else { return Burst::default() };
-        let hosts = self.present();
+        let hosts = self.present_hosts();
         let listed: Vec<Host> = hosts.iter().map(|(host, _)| *host).collect();
         let mut burst = Burst::default();
-        for leg in spread::plan(&listed, rand::random()) {
-            let to = [hosts[leg.to].1];
-            let bytes = match leg.slice {
+        for target in spread::plan(&listed, rand::random()) {
+            let to = [hosts[target.to].1];
+            let bytes = match target.slice {
                 None => send(&socket, &self.traffic, message, &to),
                 Some(slice) => {
-                    let passed = Message::PassOn(slice, Box::new(message.clone()));
-                    send(&socket, &self.traffic, &passed, &to)
+                    let forward = Message::Forward(slice, Box::new(message.clone()));
+                    send(&socket, &self.traffic, &forward, &to)
                 }
             };
             burst.datagrams += 1;
@@ -65,7 +70,7 @@
     /// `from`.
     pub fn pass_on(&self, slice: Slice, message: &Message, from: SocketAddr) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        let hosts = self.present().into_iter().filter(|(host, _)| slice.holds(host.name));
+        let hosts = self.present_hosts().into_iter().filter(|(host, _)| slice.holds(host.name));
         let addrs: Vec<SocketAddr> =
             hosts.map(|(_, addr)| addr).filter(|addr| *addr != from).collect();
         send(&socket, &self.traffic, message, &addrs);
@@ -90,9 +95,9 @@
         let (traffic, link) = (self.traffic.clone(), self.link);
         ntex::rt::spawn(async move {
             for _ in 0..times {
-                for some in addrs.chunks(CHUNK) {
-                    let bytes = send(&socket, &traffic, &message(), some);
-                    let pause = link.burst_pause(some.len(), bytes);
+                for chunk in addrs.chunks(CHUNK) {
+                    let bytes = send(&socket, &traffic, &message(), chunk);
+                    let pause = link.burst_pause(chunk.len(), bytes);
                     tokio::time::sleep(CHUNK_PAUSE.max(pause)).await;
                 }
             }
@@ -100,16 +105,18 @@
     }
 
     /// The other hosts that have not been gone for long.
-    fn present(&self) -> Vec<(Host, SocketAddr)> {
-        let (now, gone) = (self.now.get(), self.patience() * GONE);
-        let lately = SILENCE.min(self.patience()).max(self.round() * 3 / 2);
+    fn present_hosts(&self) -> Vec<(Host, SocketAddr)> {
+        let (now, gone) = (self.now.get(), self.peer_timeout() * GONE_FACTOR);
+        let recent_timeout = MIN_PEER_TIMEOUT.min(self.peer_timeout()).max(self.round() * 3 / 2);
         let known = self.known.borrow();
-        let there = known.iter().filter(|(_, p)| now < p.heard.unwrap_or(p.entered) + gone);
+        let present =
+            known.iter().filter(|(_, p)| now < p.last_heartbeat.unwrap_or(p.added) + gone);
         let host = |(name, p): (&String, &Peer)| {
-            let host = Host { name: xxh3_64(name.as_bytes()), heard: p.is_heard(now, lately) };
+            let host =
+                Host { name: xxh3_64(name.as_bytes()), heard: p.is_alive(now, recent_timeout) };
             (host, p.record.peers)
         };
-        there.map(host).collect()
+        present.map(host).collect()
     }
 }
 
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Message {
     /// Heartbeat: the sender's state.
-    Hello(Box<Hello>),
+    Heartbeat(Box<Heartbeat>),
     /// Engines that close for a change of weights, or are open again.
     Notices(Vec<Notice>),
     /// Registry entries that the sender has read for the other hosts.
@@ -45,12 +45,12 @@
     Verdicts(u64, Vec<Verdict>),
     /// A message that the receiver is to process and to forward to a slice of the
     /// hosts.
-    PassOn(Slice, Box<Message>),
+    Forward(Slice, Box<Message>),
 }
 
 /// A heartbeat: the state of a host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Heartbeat {
     pub name: String,
     /// Its addresses and incarnation.
     pub record: HostRecord,
@@ -59,10 +59,10 @@
     /// Its requests at each upstream, by the upstream's key.
     pub loads: Vec<(u64, Load)>,
     /// Keys of upstreams that it could not reach.
-    pub doubts: Vec<u64>,
+    pub unreachable: Vec<u64>,
     /// Versions of what it knows, by which the receiver sees whether it lacks
     /// something.
-    pub extent: Extent,
+    pub versions: StateVersions,
     /// Recently announced weights: model, version, and milliseconds since the
     /// announcement.
     pub named: Vec<(String, u64, u64)>,
@@ -80,7 +80,7 @@
 
 /// Versions of what a host knows.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Extent {
+pub struct StateVersions {
     /// The version of its configuration.
     pub config: u64,
     /// The sum of the weights versions that it knows.
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -19,56 +19,56 @@
 
 /// Delay before a message is sent, so that changes at nearly the same time share
 /// it.
-const GATHER: Duration = Duration::from_millis(15);
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 /// Longest time that an order waits for its announcement to be sent to the
 /// others.
-const TOLD_TIMEOUT: Duration = Duration::from_secs(1);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Announces to all hosts, including this one, that `upstreams` close for a
 /// change to `weights`.
 pub fn close(site: &Site, upstreams: &[Rc<Upstream>], weights: &Weights) {
     let Weights { model, version } = weights.clone();
-    tell(site, upstreams, Change::Closed { model, version, span: CLOSED_TTL });
+    announce(site, upstreams, Change::Closed { model, version, span: CLOSED_TTL });
 }
 
 /// Announces to all hosts, including this one, that `upstream` is open and serves
 /// `weights`.
 pub fn open(site: &Site, upstream: &Rc<Upstream>, weights: &Weights) {
     let Weights { model, version } = weights.clone();
-    tell(site, std::slice::from_ref(upstream), Change::Open { model, version });
+    announce(site, std::slice::from_ref(upstream), Change::Open { model, version });
 }
 
-fn tell(site: &Site, upstreams: &[Rc<Upstream>], change: Change) {
+fn announce(site: &Site, upstreams: &[Rc<Upstream>], change: Change) {
     let now = site.now();
     for upstream in upstreams {
-        take_change(site, upstream, &change);
-        site.notices.told.borrow_mut().put(upstream.key, change.clone(), now);
+        apply_change(site, upstream, &change);
+        site.notices.announcements.borrow_mut().put(upstream.key, change.clone(), now);
     }
     site.notices.added.notify_one();
 }
 
 /// Waits until the latest change of `upstream` has been sent to all hosts once.
-pub async fn sent(site: &Site, upstream: &Upstream) {
+pub async fn wait_until_sent(site: &Site, upstream: &Upstream) {
     let all = async {
-        while !site.notices.told.borrow().is_told(upstream.key) {
+        while !site.notices.announcements.borrow().is_told(upstream.key) {
             site.notices.sent.notified().await;
         }
     };
     // Hosts without the announcement learn of the change when the engine refuses
     // a request.
-    let _ = tokio::time::timeout(TOLD_TIMEOUT, all).await;
+    let _ = tokio::time::timeout(ANNOUNCE_TIMEOUT, all).await;
 }
 
 /// Sends pending announcements, no faster than the link allows.
 pub async fn run(site: Rc<Site>) {
     loop {
-        let due = site.notices.told.borrow().due();
+        let due = site.notices.announcements.borrow().due();
         let wait = due.map_or(Duration::MAX, |at| at.saturating_sub(site.now()));
         // A newly added announcement may be due sooner.
         let _ = tokio::time::timeout(wait, site.notices.added.notified()).await;
-        tokio::time::sleep(GATHER).await;
-        let next = site.notices.told.borrow_mut().next(site.now());
+        tokio::time::sleep(BATCH_DELAY).await;
+        let next = site.notices.announcements.borrow_mut().next(site.now());
         if next.is_empty() {
             continue;
         }
@@ -121,29 +121,29 @@
 }
 
 /// Processes another host's announcements.
-pub fn take(site: &Site, notices: &[Notice]) {
-    let mut told: HashMap<u64, &Notice> = HashMap::new();
+pub fn receive(site: &Site, notices: &[Notice]) {
+    let mut by_key: HashMap<u64, &Notice> = HashMap::new();
     for notice in notices {
-        told.extend(notice.upstreams.iter().map(|key| (*key, notice)));
+        by_key.extend(notice.upstreams.iter().map(|key| (*key, notice)));
     }
     for upstream in site.fleet.all() {
-        if let Some(notice) = told.get(&upstream.key) {
-            take_change(site, &upstream, &Change::from(*notice));
+        if let Some(notice) = by_key.get(&upstream.key) {
+            apply_change(site, &upstream, &Change::from(*notice));
         }
     }
 }
 
 /// Takes in which weights engines serve, according to the registry.
-pub fn take_weights(site: &Site, stated: &[(u64, Vec<Weights>)]) {
-    let stated: HashMap<u64, &Vec<Weights>> = stated.iter().map(|(key, w)| (*key, w)).collect();
+pub fn apply_weights(site: &Site, reported: &[(u64, Vec<Weights>)]) {
+    let reported: HashMap<u64, &Vec<Weights>> = reported.iter().map(|(key, w)| (*key, w)).collect();
     for upstream in site.fleet.all() {
-        for weights in stated.get(&upstream.key).into_iter().copied().flatten() {
+        for weights in reported.get(&upstream.key).into_iter().copied().flatten() {
             upstream.serves(&weights.model, weights.version);
         }
     }
 }
 
-fn take_change(site: &Site, upstream: &Upstream, change: &Change) {
+fn apply_change(site: &Site, upstream: &Upstream, change: &Change) {
     match change {
         // The engine has changed in the meantime, so this datagram arrived late.
         Change::Closed { model, version, .. } if upstream.weights(model) >= Some(*version) => {}
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -20,14 +20,14 @@
 use super::hosts::{Message, PERIOD};
 use super::site::Site;
 use super::{cachefeed, notices, poison, quota, warm};
+use greeting::apply_announcement_ages;
 pub use greeting::greet;
-use greeting::take_ages;
 
 /// Number of times each peer is sent an event, since a datagram may be lost.
-const SENDS: u32 = 2;
+const EVENT_SENDS: u32 = 2;
 
 /// Largest datagram, in bytes.
-const DATAGRAM: usize = 16 << 10;
+const MAX_DATAGRAM: usize = 16 << 10;
 
 /// Sends heartbeats and receives messages until the process ends.
 pub async fn run(site: Rc<Site>) {
@@ -46,12 +46,12 @@
         site.peers.now.set(site.now());
         site.judge_store();
         greet(&site);
-        share_loads(&site);
+        update_remote_loads(&site);
         tokio::time::sleep(PERIOD).await;
     }
 }
 
-fn share_loads(site: &Site) {
+fn update_remote_loads(site: &Site) {
     let sums = match site.has(Mechanism::Loads) {
         true => site.peers.loads(),
         false => HashMap::new(),
@@ -62,7 +62,7 @@
 }
 
 async fn listen(site: Rc<Site>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0u8; DATAGRAM];
+    let mut buf = vec![0u8; MAX_DATAGRAM];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             // An error reported for a port without a listener: that peer is down.
@@ -71,39 +71,43 @@
         };
         let config = bincode::config::standard();
         match bincode::serde::decode_from_slice::<Message, _>(&buf[..len], config) {
-            Ok((Message::PassOn(slice, message), _)) => {
+            Ok((Message::Forward(slice, message), _)) => {
                 site.peers.pass_on(slice, &message, from);
-                hear(&site, *message, from);
+                handle(&site, *message, from);
             }
-            Ok((message, _)) => hear(&site, message, from),
+            Ok((message, _)) => handle(&site, message, from),
             Err(error) => tracing::warn!(target: "peers", %from, %error, "cannot decode datagram"),
         }
     }
 }
 
 /// Processes a message that the host at `from` sent or forwarded.
-fn hear(site: &Rc<Site>, message: Message, from: SocketAddr) {
+fn handle(site: &Rc<Site>, message: Message, from: SocketAddr) {
     match message {
-        Message::Hello(mut hello) => {
-            let told = site.has(Mechanism::Doubts);
-            let doubts = |u: &Rc<Upstream>| told && hello.doubts.contains(&u.key);
-            site.fleet.all().iter().filter(|u| doubts(u)).for_each(|u| u.heard_doubt(site.now()));
-            take_ages(site, &hello.named);
-            cachefeed::hear(site, &hello.news);
-            warm::compare(site, from, &hello.extent);
-            poison::hear_quarantined(site, std::mem::take(&mut hello.quarantine));
-            site.peers.hear(*hello, site.now());
+        Message::Heartbeat(mut heartbeat) => {
+            let in_use = site.has(Mechanism::Doubts);
+            let is_reported = |u: &Rc<Upstream>| in_use && heartbeat.unreachable.contains(&u.key);
+            site.fleet
+                .all()
+                .iter()
+                .filter(|u| is_reported(u))
+                .for_each(|u| u.note_unreachable_report(site.now()));
+            apply_announcement_ages(site, &heartbeat.named);
+            cachefeed::hear(site, &heartbeat.news);
+            warm::compare(site, from, &heartbeat.versions);
+            poison::hear_quarantined(site, std::mem::take(&mut heartbeat.quarantine));
+            site.peers.receive_heartbeat(*heartbeat, site.now());
         }
-        Message::Notices(told) => notices::take(site, &told),
+        Message::Notices(notices) => notices::receive(site, &notices),
         Message::Relay(relay) => {
-            notices::take_weights(site, &relay.weights);
-            site.relays.hear(relay, site.now());
+            notices::apply_weights(site, &relay.weights);
+            site.relays.receive(relay, site.now());
         }
         Message::Crashes(reports) => poison::hear_reports(site, &reports),
         Message::Quarantine(entries) => poison::hear_quarantined(site, entries),
         Message::Usages(sender, usages) => quota::hear_usages(site, sender, &usages, from),
         Message::Verdicts(account, verdicts) => quota::hear_verdicts(site, account, &verdicts),
         // A message is forwarded only once.
-        Message::PassOn(..) => {}
+        Message::Forward(..) => {}
     }
 }
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::SENDS;
+use super::EVENT_SENDS;
 use crate::proxy::fleet::Upstream;
-use crate::proxy::hosts::Hello;
+use crate::proxy::hosts::Heartbeat;
 use crate::proxy::site::Site;
 use crate::proxy::warm;
 
@@ -15,46 +15,46 @@
 const MAX_WEIGHTS_AGE: Duration = Duration::from_secs(600);
 
 /// Unreachable upstreams named in one heartbeat; they take half a kilobyte.
-const MAX_DOUBTS: usize = 64;
+const MAX_UNREACHABLE: usize = 64;
 
 /// Sends a heartbeat to the next few hosts.
 pub fn greet(site: &Site) {
     let own = |u: &Rc<Upstream>| (u.key, u.own.get());
     let (now, all) = (site.now(), site.fleet.all());
-    let span = site.peers.round() * SENDS;
+    let span = site.peers.round() * EVENT_SENDS;
     let loads = all.iter().map(own).filter(|(_, l)| l.running > 0).collect();
-    let hello = Hello {
+    let heartbeat = Heartbeat {
         name: site.peers.name.clone(),
         record: site.peers.record.clone(),
         open: site.is_ready(),
         loads,
-        named: lately_named(site),
+        named: recent_announcement_ages(site),
         news: site.news.borrow_mut().lately(span, now),
         stance: site.stance.get(),
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
-        extent: warm::extent(site),
+        versions: warm::versions(site),
         quarantine: site.poison.lately(span, now),
-        doubts: doubts(&all, now),
+        unreachable: unreachable_keys(&all, now),
     };
-    site.peers.greet(hello);
+    site.peers.send_heartbeat(heartbeat);
 }
 
 /// Keys of upstreams that this host cannot reach, starting at a random one each
 /// time if there are too many.
-fn doubts(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
+fn unreachable_keys(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
     let lost = all.iter().filter(|u| u.health.borrow().is_lost(now));
     let mut keys: Vec<u64> = lost.map(|u| u.key).collect();
-    if keys.len() > MAX_DOUBTS {
+    if keys.len() > MAX_UNREACHABLE {
         let first = rand::random_range(0..keys.len());
         keys.rotate_left(first);
-        keys.truncate(MAX_DOUBTS);
+        keys.truncate(MAX_UNREACHABLE);
     }
     keys
 }
 
 /// Weights versions announced so recently that their age matters.
-fn lately_named(site: &Site) -> Vec<(String, u64, u64)> {
+fn recent_announcement_ages(site: &Site) -> Vec<(String, u64, u64)> {
     let (now, named) = (site.now(), site.named.borrow());
     let ages = named.iter().flat_map(|(model, n)| {
         let ages = n.ages(now, MAX_WEIGHTS_AGE).into_iter();
@@ -64,7 +64,7 @@
 }
 
 /// Takes in when another host learnt of weights versions.
-pub(super) fn take_ages(site: &Site, named: &[(String, u64, u64)]) {
+pub(super) fn apply_announcement_ages(site: &Site, named: &[(String, u64, u64)]) {
     let mut all = site.named.borrow_mut();
     for (model, version, age) in named {
         if let Some(known) = all.get_mut(model) {
--- a/crates/router/src/proxy/relay.rs
+++ b/crates/router/src/proxy/relay.rs
@@ -19,7 +19,7 @@
 /// resumed elsewhere only if the upstream does not answer the probe: an engine
 /// short of memory suspends a stream for seconds, and there may be no other
 /// engine that can resume it. Callers give up after two seconds.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_200);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Bytes of a caller's next request that are read ahead.
 pub const READ_AHEAD: usize = 64 << 10;
@@ -46,12 +46,12 @@
     };
     match answer {
         Err(refusal) => Outcome::Refused(refusal),
-        Ok(Answer::Failed(opened, body)) => failed(site, caller, opened, &body, last).await,
+        Ok(Answer::Failed(opened, body)) => forward_error(site, caller, opened, &body, last).await,
         Ok(Answer::Open(opened, flight)) if exchange.route.kind.streams() && is_stream(&opened) => {
             Stream::new(site, exchange, last).relay(caller, opened, flight).await
         }
         Ok(Answer::Open(opened, flight)) => {
-            whole(site, caller, exchange, opened, flight, last).await
+            forward_buffered(site, caller, exchange, opened, flight, last).await
         }
     }
 }
@@ -74,7 +74,7 @@
 }
 
 /// Forwards an error response of an upstream.
-async fn failed(
+async fn forward_error(
     site: &Site,
     caller: &mut Conn,
     opened: Opened,
@@ -100,7 +100,7 @@
 
 /// Forwards an answer after its body has been received completely, so that the
 /// caller never takes a truncated one for complete.
-async fn whole(
+async fn forward_buffered(
     site: &Site,
     caller: &mut Conn,
     exchange: &mut Exchange,
@@ -145,9 +145,9 @@
                 match again {
                     Err(refusal) => return Outcome::Refused(refusal),
                     Ok(Answer::Failed(opened, body)) => {
-                        return failed(site, caller, opened, &body, last).await;
+                        return forward_error(site, caller, opened, &body, last).await;
                     }
-                    Ok(Answer::Open(next, counted)) => (opened, flight) = (next, counted),
+                    Ok(Answer::Open(next, next_flight)) => (opened, flight) = (next, next_flight),
                 }
             }
         }
@@ -163,14 +163,14 @@
     /// The response head, until it has been written.
     head: Option<BytesMut>,
     /// Id of the last event forwarded.
-    passed: Option<u64>,
+    last_event_id: Option<u64>,
     /// Some bytes have been forwarded.
     begun: bool,
 }
 
 /// Result of waiting for more of a stream.
 enum Step {
-    Go,
+    Continue,
     Ended,
     Broken(Failure),
     Expired,
@@ -185,7 +185,7 @@
             last,
             splitter: Splitter::new(),
             head: None,
-            passed: None,
+            last_event_id: None,
             begun: false,
         }
     }
@@ -195,7 +195,7 @@
         loop {
             let step = self.step(caller, &mut opened).await;
             let failure = match step {
-                Step::Go => continue,
+                Step::Continue => continue,
                 Step::Left => return Outcome::Left,
                 Step::Expired if self.begun => return Outcome::Cut("route's time is up".into()),
                 Step::Expired => return Outcome::Refused(self.exchange.expired()),
@@ -216,18 +216,18 @@
             drop((opened, flight));
             self.splitter.clear();
             let again = tokio::select! {
-                again = self.exchange.open(self.passed) => again,
+                again = self.exchange.open(self.last_event_id) => again,
                 () = caller.gone(READ_AHEAD) => return Outcome::Left,
             };
             match again {
-                Ok(Answer::Open(next, counted)) if is_stream(&next) => {
+                Ok(Answer::Open(next, next_flight)) if is_stream(&next) => {
                     self.site.counters.count("stream.resumed");
-                    tracing::info!(target: "stream", id = self.exchange.id(), passed = self.passed,
+                    tracing::info!(target: "stream", id = self.exchange.id(), passed = self.last_event_id,
                         upstream = %next.upstream.life, after = %failure, "stream resumed");
                     if !self.begun {
                         self.head = Some(head(&next, self.last).chunked());
                     }
-                    (opened, flight) = (next, counted);
+                    (opened, flight) = (next, next_flight);
                 }
                 Err(refusal) if self.begun => {
                     return Outcome::Cut(format!("{failure}; not resumed: {}", refusal.why));
@@ -235,7 +235,7 @@
                 _ if self.begun => return Outcome::Cut(format!("{failure}; not resumed")),
                 Err(refusal) => return Outcome::Refused(refusal),
                 Ok(Answer::Failed(opened, body)) => {
-                    return failed(self.site, caller, opened, &body, self.last).await;
+                    return forward_error(self.site, caller, opened, &body, self.last).await;
                 }
                 Ok(Answer::Open(..)) => {
                     return Outcome::Refused(Refusal::with_status(502, "no stream came"));
@@ -246,39 +246,39 @@
 
     /// Waits for more of the stream and forwards the events that are complete.
     async fn step(&mut self, caller: &mut Conn, opened: &mut Opened) -> Step {
-        let silence = match self.exchange.may_resume() {
-            true => STREAM_SILENCE,
+        let idle_limit = match self.exchange.may_resume() {
+            true => STREAM_IDLE_TIMEOUT,
             false => self.exchange.left(),
         };
-        let until = (self.site.now() + silence).min(self.exchange.expires);
+        let until = (self.site.now() + idle_limit).min(self.exchange.expires);
         let data = tokio::select! {
             data = tokio::time::timeout_at(self.site.at(until), opened.next_data()) => data,
             () = caller.gone(READ_AHEAD) => return Step::Left,
         };
         match data {
             Err(_) if self.site.now() >= self.exchange.expires => return Step::Expired,
-            Err(_) if reports::answers(&opened.upstream).await => return Step::Go,
-            Err(_) => return Step::Broken(Failure::Silent(silence)),
+            Err(_) if reports::answers(&opened.upstream).await => return Step::Continue,
+            Err(_) => return Step::Broken(Failure::Silent(idle_limit)),
             Ok(Err(failure)) => return Step::Broken(failure),
             Ok(Ok(None)) => return Step::Ended,
             Ok(Ok(Some(data))) => self.splitter.push(&data),
         }
         opened.upstream.health.borrow_mut().alive(self.site.now());
-        match self.pass(caller).await {
-            true => Step::Go,
+        match self.forward_events(caller).await {
+            true => Step::Continue,
             false => Step::Left,
         }
     }
 
     /// Forwards complete events; returns false if the caller has disconnected.
-    async fn pass(&mut self, caller: &mut Conn) -> bool {
+    async fn forward_events(&mut self, caller: &mut Conn) -> bool {
         let mut data = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            match (event.id, self.passed) {
+            match (event.id, self.last_event_id) {
                 // A resumed stream may begin with events that have already been
                 // forwarded.
                 (Some(id), Some(passed)) if id <= passed => continue,
-                (Some(id), _) => self.passed = Some(id),
+                (Some(id), _) => self.last_event_id = Some(id),
                 (None, _) => {}
             }
             data.extend_from_slice(&event.bytes);
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
-use super::duty::{self, Duty};
+use super::duty::{self, Leadership};
 use super::logs::Logs;
 use super::options::ProxyOptions;
 use super::site::Site;
@@ -35,7 +35,7 @@
 
 /// Time reserved at the end of a stop for giving up leadership while a rollout is
 /// in progress.
-const STOP_LEAVE: Duration = Duration::from_millis(1_400);
+const STOP_LEADERSHIP_MARGIN: Duration = Duration::from_millis(1_400);
 
 /// Runs the proxy until it receives a signal to stop.
 pub async fn run(options: ProxyOptions) -> Result<(), Error> {
@@ -48,19 +48,19 @@
     let site = Site::new(host, options.policy, options.without);
     let listening = site.settings.load_full();
     let callers_listener = listen(listening.callers)?;
-    let mut questions = Vec::new();
+    let mut status_listeners = Vec::new();
     for addr in [listening.ready, listening.directory].into_iter().flatten() {
-        questions.push(listen(addr)?);
+        status_listeners.push(listen(addr)?);
     }
     let metrics = SocketAddr::new(listening.ip, options.metrics_port);
     match listen(metrics) {
-        Ok(listener) => questions.push(listener),
+        Ok(listener) => status_listeners.push(listener),
         // Requests are served without metrics too; the state dump is also
         // available on the other listeners.
         Err(error) => tracing::error!(target: "run", %error, "metrics not available"),
     }
     ntex::rt::spawn(callers::serve(site.clone(), callers_listener));
-    for listener in questions {
+    for listener in status_listeners {
         ntex::rt::spawn(entry::serve(site.clone(), listener, logs.dropped.clone()));
     }
     follow::start(&site);
@@ -69,12 +69,12 @@
     ntex::rt::spawn(notices::run(site.clone()));
     ntex::rt::spawn(poison::keep(site.clone()));
     ntex::rt::spawn(quota::run(site.clone()));
-    let offers = listen(site.peers.record.peers)?;
-    ntex::rt::spawn(warm::serve(site.clone(), offers));
-    let duty = duty::start(&site);
+    let warm_listener = listen(site.peers.record.peers)?;
+    ntex::rt::spawn(warm::serve(site.clone(), warm_listener));
+    let leadership = duty::start(&site);
     ntex::rt::spawn(watch_settings(site.clone(), path));
     wait_for_stop().await?;
-    stop(&site, &duty, &logs).await;
+    stop(&site, &leadership, &logs).await;
     Ok(())
 }
 
@@ -99,7 +99,7 @@
 
 /// Stops without interrupting a request: callers are sent to other hosts first. A
 /// leader that is changing engines' weights goes on with that in the meantime.
-async fn stop(site: &Rc<Site>, duty: &Duty, logs: &Logs) {
+async fn stop(site: &Rc<Site>, leadership: &Leadership, logs: &Logs) {
     let begun = site.now();
     let end = begun + site.settings.load().bounds.grace.saturating_sub(STOP_MARGIN);
     site.stopping.set(Some(Stop { begun, end }));
@@ -110,16 +110,16 @@
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
         let now = site.now();
-        if !duty.is_busy() || now + STOP_LEAVE >= end {
-            duty::release(duty).await;
+        if !leadership.is_busy() || now + STOP_LEADERSHIP_MARGIN >= end {
+            duty::release(leadership).await;
         }
-        let seen = site.counters.requests();
-        if site.handled.get() > 0 || seen != answered {
-            answered = seen;
+        let requests = site.counters.requests();
+        if site.handled.get() > 0 || requests != answered {
+            answered = requests;
             quiet_since = now;
         }
         let quiet = now - quiet_since >= STOP_QUIET && now - begun >= MIN_STOP;
-        let quiet = quiet && !duty.is_busy();
+        let quiet = quiet && !leadership.is_busy();
         if quiet || now >= end {
             break;
         }
@@ -135,17 +135,17 @@
         tracing::error!(target: "run", "cannot listen for SIGHUP; settings will not be reloaded");
         return;
     };
-    let mut seen = changed_at(&path);
+    let mut last_change = changed_at(&path);
     loop {
         let asked = tokio::select! {
             _ = hangup.recv() => true,
             () = tokio::time::sleep(SETTINGS_INTERVAL) => false,
         };
         let at = changed_at(&path);
-        if !asked && at == seen {
+        if !asked && at == last_change {
             continue;
         }
-        seen = at;
+        last_change = at;
         match settings::load(&path) {
             Ok(new) if new == **site.settings.load() => {
                 tracing::info!(target: "run", asked, "settings reloaded, unchanged");
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -197,9 +197,9 @@
 
     /// Updates the store's availability from all hosts' errors.
     pub fn judge_store(&self) {
-        let Some(met) = self.store_error.get() else { return };
+        let Some(last_error) = self.store_error.get() else { return };
         let now = self.now();
-        let own = Some(now.saturating_sub(met));
+        let own = Some(now.saturating_sub(last_error));
         let (others, hosts) = self.peers.store_errors(now);
         if let Some(age) = soundness::agreed(own, others, hosts + 1) {
             self.soundness.borrow_mut().note_error(now.saturating_sub(age));
--- a/crates/router/src/proxy/site/notices.rs
+++ b/crates/router/src/proxy/site/notices.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct Notices {
     /// What is announced, and when.
-    pub told: RefCell<Announcements>,
+    pub announcements: RefCell<Announcements>,
     /// Notified when an announcement has been added.
     pub added: Notify,
     /// Notified when a message has been sent.
--- a/crates/router/src/proxy/storeclient.rs
+++ b/crates/router/src/proxy/storeclient.rs
@@ -13,7 +13,7 @@
 use super::http1::{self, Body, RequestWriter};
 
 /// Time limit for connecting.
-const CONNECT: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 quick_error! {
     /// Why a call got no answer.
@@ -69,7 +69,7 @@
         let mut kept = self.conn.take();
         let mut conn = match kept.take_if(|conn| conn.is_quiet()) {
             Some(conn) => conn,
-            None => Conn::connect(self.peer, CONNECT.min(limit))
+            None => Conn::connect(self.peer, CONNECT_TIMEOUT.min(limit))
                 .await
                 .map_err(|e| CallError::Connect(self.peer, e.to_string()))?,
         };
@@ -108,9 +108,9 @@
     conn.write(bytes).await?;
     let head = answer::read_head(conn).await?;
     let mut body = Body::from(http1::response_framing(method, &head)?);
-    let mut whole = BytesMut::new();
+    let mut received = BytesMut::new();
     while let Some(data) = answer::next_piece(conn, &mut body).await? {
-        whole.extend_from_slice(&data);
+        received.extend_from_slice(&data);
     }
     let keep = !head.headers.closes(head.minor) && conn.buf.is_empty() && !conn.ended;
     let era = store::era(|name| head.headers.get(name)).unwrap_or_else(|error| {
@@ -118,5 +118,5 @@
         tracing::warn!(target: "store", %error, "cannot parse the store's era");
         Era::default()
     });
-    Ok((Reply { status: head.status, era, body: whole.freeze() }, keep))
+    Ok((Reply { status: head.status, era, body: received.freeze() }, keep))
 }
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 
 use super::follow;
-use super::hosts::{Extent, HostRecord};
+use super::hosts::{HostRecord, StateVersions};
 use super::poison;
 use super::site::Site;
 use crate::link;
@@ -28,7 +28,7 @@
 const FETCH_DELAY: Duration = Duration::from_millis(300);
 
 /// Time limit for another host's answer.
-const ANSWER: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// What a host knows, as sent to hosts that ask.
 #[derive(Debug, Serialize, Deserialize)]
@@ -61,8 +61,8 @@
 }
 
 /// Versions of what this host knows, for heartbeats.
-pub fn extent(site: &Site) -> Extent {
-    Extent {
+pub fn versions(site: &Site) -> StateVersions {
+    StateVersions {
         config: site.catalog.load().as_ref().map_or(0, |c| c.version),
         weights: site.named.borrow().values().filter_map(|n| n.newest()).sum(),
         entries: site.poison.extent(),
@@ -71,13 +71,13 @@
 
 /// Compares the versions reported by the host at `from` with this host's, and
 /// fetches its knowledge if this host has lacked some for long enough.
-pub fn compare(site: &Rc<Site>, from: SocketAddr, theirs: &Extent) {
-    let (own, now) = (extent(site), site.now());
-    let knows = theirs.config <= own.config
-        && theirs.weights <= own.weights
-        && theirs.entries <= own.entries;
+pub fn compare(site: &Rc<Site>, from: SocketAddr, remote: &StateVersions) {
+    let (own, now) = (versions(site), site.now());
+    let is_up_to_date = remote.config <= own.config
+        && remote.weights <= own.weights
+        && remote.entries <= own.entries;
     match site.behind.get() {
-        _ if knows => {}
+        _ if is_up_to_date => {}
         Some(since) if now < since + FETCH_DELAY => {}
         // The next fetch is possible only after the same delay again, whether or
         // not this one succeeds.
@@ -94,9 +94,9 @@
         let sender = link::connect(from).await?;
         link::ask(sender, from, Bytes::new()).await
     };
-    let answer = match tokio::time::timeout(ANSWER, asked).await {
+    let answer = match tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
         Ok(answer) => answer,
-        Err(_) => Err(format!("no answer in {} ms", ANSWER.as_millis())),
+        Err(_) => Err(format!("no answer in {} ms", ANSWER_TIMEOUT.as_millis())),
     };
     let decoded = answer.and_then(|bytes| {
         bincode::serde::decode_from_slice::<Knowledge, _>(&bytes, bincode::config::standard())
@@ -104,12 +104,12 @@
             .map_err(|e| e.to_string())
     });
     match decoded {
-        Ok(knowledge) => take(&site, from, knowledge),
+        Ok(knowledge) => apply(&site, from, knowledge),
         Err(why) => tracing::warn!(target: "warm", %from, why, "cannot fetch another host's state"),
     }
 }
 
-fn take(site: &Site, from: SocketAddr, knowledge: Knowledge) {
+fn apply(site: &Site, from: SocketAddr, knowledge: Knowledge) {
     tracing::info!(target: "warm", %from, upstreams = knowledge.upstreams.len(),
         hosts = knowledge.hosts.len(), "applied state fetched from another host");
     let source = from.to_string();
