--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -237,7 +237,7 @@
 fn hand_over_if_unreachable(leadership: &Leadership) {
     let (site, mut known) = (&leadership.site, leadership.engine_states.borrow_mut());
     let (now, named) = (site.now(), newest_weights(site));
-    let report_span = site.peers.round() * UNREACHABLE_REPORT_ROUNDS;
+    let report_span = site.peers.heartbeat_round() * UNREACHABLE_REPORT_ROUNDS;
     let changing =
         known.values().filter(|k| k.changing.is_some() && k.unreachable_since.is_none()).count();
     let behind = |u: &Rc<Upstream>| named.iter().any(|w| is_outdated(u, w));
--- a/crates/router/src/proxy/duty/change.rs
+++ b/crates/router/src/proxy/duty/change.rs
@@ -108,7 +108,7 @@
     let orders = match count {
         Some(orders) => orders,
         None => match fetch_report(leadership, &mut caller, upstream).await {
-            Ok(report) if serves(&report, weights) => return End::Changed,
+            Ok(report) if has_weights(&report, weights) => return End::Changed,
             Ok(report) if report.busy => {
                 *closed = true;
                 return wait_until_changed(leadership, upstream, weights, &mut caller, false).await;
@@ -224,7 +224,7 @@
             return End::Changed;
         }
         match fetch_report(leadership, caller, upstream).await {
-            Ok(report) if serves(&report, weights) => return End::Changed,
+            Ok(report) if has_weights(&report, weights) => return End::Changed,
             Ok(report) if report.busy => idle = 0,
             Ok(_) if !accepted && idle >= 1 => return End::Failed("order not accepted".into()),
             Ok(_) => idle += 1,
@@ -237,6 +237,6 @@
     }
 }
 
-fn serves(report: &Report, weights: &Weights) -> bool {
+fn has_weights(report: &Report, weights: &Weights) -> bool {
     report.weights.iter().any(|w| w.model == weights.model && w.version >= weights.version)
 }
--- a/crates/router/src/proxy/duty/membership.rs
+++ b/crates/router/src/proxy/duty/membership.rs
@@ -55,7 +55,7 @@
     View {
         up: now,
         vacant: Duration::ZERO,
-        round: site.peers.round(),
+        round: site.peers.heartbeat_round(),
         pending: is_rollout_pending(site),
         rank: (site.room(), xxh3_64(site.settings.load().name.as_bytes())),
         errors: site.store_error.get().map(|at| now.saturating_sub(at)),
@@ -82,7 +82,7 @@
 
 /// Leaves leadership to hosts with a better link for a while.
 fn defer_to_others(leadership: &Leadership) {
-    leadership.site.rest.set(leadership.site.now() + REST);
+    leadership.site.no_leadership_until.set(leadership.site.now() + REST);
 }
 
 async fn wait_to_join(leadership: &Leadership) {
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -241,8 +241,8 @@
     /// Records that the prompt has been processed, or that the answer has begun.
     pub fn read(&mut self) {
         let unread = std::mem::take(&mut self.load.unread);
-        let own = self.upstream.own.get();
-        self.upstream.own.set(Load { unread: own.unread.saturating_sub(unread), ..own });
+        let current = self.upstream.own.get();
+        self.upstream.own.set(Load { unread: current.unread.saturating_sub(unread), ..current });
         if std::mem::take(&mut self.awaiting_first_output) {
             self.upstream.health.borrow_mut().unwait();
         }
@@ -252,11 +252,11 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         self.read();
-        let own = self.upstream.own.get();
+        let current = self.upstream.own.get();
         self.upstream.own.set(Load {
-            running: own.running.saturating_sub(self.load.running),
-            unread: own.unread,
-            memory: own.memory.saturating_sub(self.load.memory),
+            running: current.running.saturating_sub(self.load.running),
+            unread: current.unread,
+            memory: current.memory.saturating_sub(self.load.memory),
         });
     }
 }
@@ -278,10 +278,10 @@
             Some(upstream) if entry.life.born < upstream.life.born => {}
             Some(upstream) if upstream.is_updated_by(entry) => {
                 {
-                    let mut own = upstream.entry.borrow_mut();
-                    own.leaving = entry.leaving;
-                    own.addr = entry.addr;
-                    own.slots = entry.slots;
+                    let mut current = upstream.entry.borrow_mut();
+                    current.leaving = entry.leaving;
+                    current.addr = entry.addr;
+                    current.slots = entry.slots;
                 }
                 for weights in &entry.weights {
                     upstream.serves(&weights.model, weights.version);
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -20,7 +20,7 @@
 use super::storelink::{ANSWER, Link, SLOW, call};
 use hosts::Hosts;
 use operators::Operators;
-pub use operators::{name_weights, put_in_force};
+pub use operators::{apply_announced_weights, apply_configuration};
 use upstreams::Upstreams;
 pub use upstreams::upstream_changed;
 
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -33,7 +33,7 @@
         }
         match catalog::parse_weights(&record.key, value) {
             Some(Ok(named)) => {
-                name_weights(site, &named.model, named.version, self.listed, "store")
+                apply_announced_weights(site, &named.model, named.version, self.listed, "store")
             }
             Some(Err(error)) => {
                 tracing::error!(target: "config", key = record.key, %error, "cannot parse record");
@@ -49,7 +49,7 @@
 
 fn configure(site: &Site, record: &[u8]) {
     match catalog::parse(record) {
-        Ok(new) => put_in_force(site, new, "store"),
+        Ok(new) => apply_configuration(site, new, "store"),
         Err(error) => {
             let kept = site.catalog.load().as_ref().map(|c| c.version);
             tracing::error!(target: "config", %error, kept,
@@ -60,7 +60,7 @@
 
 /// Puts a configuration received from `source` in force, unless the current one
 /// is at least as new.
-pub fn put_in_force(site: &Site, new: Catalog, source: &str) {
+pub fn apply_configuration(site: &Site, new: Catalog, source: &str) {
     let known = site.catalog.load().as_ref().map(|c| c.version);
     if known.is_some_and(|known| new.version <= known) {
         tracing::debug!(target: "config", version = new.version, known,
@@ -74,7 +74,7 @@
 
 /// Takes in an announced weights version. `fresh` is set if it was announced just
 /// now, not before this process started.
-pub fn name_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
+pub fn apply_announced_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
     let mut all = site.named.borrow_mut();
     let named = all.entry(model.to_string()).or_default();
     let is_new = match fresh {
--- a/crates/router/src/proxy/follow/relay.rs
+++ b/crates/router/src/proxy/follow/relay.rs
@@ -45,7 +45,7 @@
     pub fn of(site: &Site) -> Self {
         match site.peers.count() {
             hosts if hosts <= FRESH_HOSTS => Self::Alone,
-            _ if site.peers.has_most_room(site.room(), READERS) => Self::Reader,
+            _ if site.peers.has_most_capacity(site.room(), READERS) => Self::Reader,
             _ => Self::Listener,
         }
     }
@@ -65,7 +65,7 @@
     // The age is computed when each datagram is sent: if the process is suspended
     // in between, the remaining hosts still get the true age of the data.
     let asked = clock::now().saturating_sub(site.now().saturating_sub(read.asked));
-    site.peers.spread(1, move || {
+    site.peers.send_to_all(1, move || {
         let age = clock::now().saturating_sub(asked).as_millis() as u64;
         Message::Relay(Relay { age, span, changes: changes.clone(), weights: weights.clone() })
     });
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -105,7 +105,8 @@
     /// Adds a host's record received from `source`, unless another incarnation of
     /// that host is still sending heartbeats.
     fn add(&self, name: &str, record: HostRecord, source: &str) {
-        let (now, silence) = (self.now.get(), self.round() * MISSED_BEFORE_NEW_INCARNATION);
+        let (now, silence) =
+            (self.now.get(), self.heartbeat_round() * MISSED_BEFORE_NEW_INCARNATION);
         let mut known = self.known.borrow_mut();
         match known.get(name) {
             _ if name == self.name => {}
@@ -150,19 +151,19 @@
     /// number of other hosts whose heartbeats are received.
     pub fn store_errors(&self, now: Duration) -> (Vec<Duration>, usize) {
         let (peer_timeout, known) = (self.peer_timeout(), self.known.borrow());
-        let heard = known.values().filter(|p| p.is_alive(now, peer_timeout));
-        let ages = heard.clone().filter_map(|p| p.store_error).map(|at| now.saturating_sub(at));
-        (ages.collect(), heard.count())
+        let alive = known.values().filter(|p| p.is_alive(now, peer_timeout));
+        let ages = alive.clone().filter_map(|p| p.store_error).map(|at| now.saturating_sub(at));
+        (ages.collect(), alive.count())
     }
 
     /// Whether this host, with capacity `room`, is among the `count` hosts with
     /// the most capacity, of those whose heartbeats are received.
-    pub fn has_most_room(&self, room: Room, count: usize) -> bool {
+    pub fn has_most_capacity(&self, room: Room, count: usize) -> bool {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let own = (room, xxh3_64(self.name.as_bytes()));
         let known = self.known.borrow();
-        let heard = known.iter().filter(|(_, p)| p.is_alive(now, peer_timeout));
-        heard.filter(|(name, p)| (p.room, xxh3_64(name.as_bytes())) > own).count() < count
+        let alive = known.iter().filter(|(_, p)| p.is_alive(now, peer_timeout));
+        alive.filter(|(name, p)| (p.room, xxh3_64(name.as_bytes())) > own).count() < count
     }
 
     /// Whether this host is among the first `count` by rendezvous hashing of
@@ -208,9 +209,9 @@
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let rank = |name: &str, room| (room, place::rank(group, xxh3_64(name.as_bytes())));
         let known = self.known.borrow();
-        let heard = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
+        let alive = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
         let mut ranked: Vec<_> =
-            heard.map(|(name, p)| (rank(name, p.room), Some(p.record.peers))).collect();
+            alive.map(|(name, p)| (rank(name, p.room), Some(p.record.peers))).collect();
         ranked.extend(own.map(|room| (rank(&self.name, room), None)));
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         ranked.into_iter().take(count).map(|(_, addr)| addr).collect()
@@ -222,9 +223,8 @@
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
         let heard = known.values().filter(|p| p.is_alive(now, peer_timeout)).count() + 1;
-        let recent_timeout = |p: &Peer| now < p.last_heartbeat.unwrap_or(p.added) + span;
-        let silent =
-            known.iter().filter(|(_, p)| !p.is_alive(now, peer_timeout) && recent_timeout(p));
+        let is_recent = |p: &Peer| now < p.last_heartbeat.unwrap_or(p.added) + span;
+        let silent = known.iter().filter(|(_, p)| !p.is_alive(now, peer_timeout) && is_recent(p));
         Hosts { heard, silent: silent.map(|(name, _)| xxh3_64(name.as_bytes())).collect() }
     }
 
@@ -237,13 +237,13 @@
     }
 
     /// Time in which every peer gets one heartbeat.
-    pub fn round(&self) -> Duration {
+    pub fn heartbeat_round(&self) -> Duration {
         PERIOD * self.known.borrow().len().div_ceil(FANOUT).max(1) as u32
     }
 
     /// How long a host may be silent before it counts as gone.
     fn peer_timeout(&self) -> Duration {
-        MIN_PEER_TIMEOUT.max(self.round() * MAX_MISSED_HEARTBEATS)
+        MIN_PEER_TIMEOUT.max(self.heartbeat_round() * MAX_MISSED_HEARTBEATS)
     }
 
     /// Takes in a heartbeat received at `now`.
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -79,12 +79,12 @@
     /// Sends every host the result of `message`, directly, `times` times, a few
     /// hosts at a time and using at most half of the link. `message` is called
     /// anew for each chunk.
-    pub fn spread(&self, times: u32, message: impl Fn() -> Message + 'static) {
+    pub fn send_to_all(&self, times: u32, message: impl Fn() -> Message + 'static) {
         let all = self.known.borrow().values().map(|p| p.record.peers).collect();
         self.tell(all, times, message);
     }
 
-    /// Does the same as `spread` for the hosts at `addrs`.
+    /// Does the same as `send_to_all` for the hosts at `addrs`.
     pub fn tell(
         &self,
         addrs: Vec<SocketAddr>,
@@ -107,7 +107,8 @@
     /// The other hosts that have not been gone for long.
     fn present_hosts(&self) -> Vec<(Host, SocketAddr)> {
         let (now, gone) = (self.now.get(), self.peer_timeout() * GONE_FACTOR);
-        let recent_timeout = MIN_PEER_TIMEOUT.min(self.peer_timeout()).max(self.round() * 3 / 2);
+        let recent_timeout =
+            MIN_PEER_TIMEOUT.min(self.peer_timeout()).max(self.heartbeat_round() * 3 / 2);
         let known = self.known.borrow();
         let present =
             known.iter().filter(|(_, p)| now < p.last_heartbeat.unwrap_or(p.added) + gone);
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -65,7 +65,7 @@
     pub versions: StateVersions,
     /// Recently announced weights: model, version, and milliseconds since the
     /// announcement.
-    pub named: Vec<(String, u64, u64)>,
+    pub announcement_ages: Vec<(String, u64, u64)>,
     /// What caches have recently added and evicted.
     pub news: Vec<News>,
     /// Whether it is a candidate for leadership of weights rollouts.
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -21,7 +21,7 @@
 use super::site::Site;
 use super::{cachefeed, notices, poison, quota, warm};
 use greeting::apply_announcement_ages;
-pub use greeting::greet;
+pub use greeting::send_heartbeats;
 
 /// Number of times each peer is sent an event, since a datagram may be lost.
 const EVENT_SENDS: u32 = 2;
@@ -44,8 +44,8 @@
     ntex::rt::spawn(listen(site.clone(), socket));
     loop {
         site.peers.now.set(site.now());
-        site.judge_store();
-        greet(&site);
+        site.update_store_availability();
+        send_heartbeats(&site);
         update_remote_loads(&site);
         tokio::time::sleep(PERIOD).await;
     }
@@ -92,7 +92,7 @@
                 .iter()
                 .filter(|u| is_reported(u))
                 .for_each(|u| u.note_unreachable_report(site.now()));
-            apply_announcement_ages(site, &heartbeat.named);
+            apply_announcement_ages(site, &heartbeat.announcement_ages);
             cachefeed::hear(site, &heartbeat.news);
             warm::compare(site, from, &heartbeat.versions);
             poison::hear_quarantined(site, std::mem::take(&mut heartbeat.quarantine));
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -18,17 +18,17 @@
 const MAX_UNREACHABLE: usize = 64;
 
 /// Sends a heartbeat to the next few hosts.
-pub fn greet(site: &Site) {
+pub fn send_heartbeats(site: &Site) {
     let own = |u: &Rc<Upstream>| (u.key, u.own.get());
     let (now, all) = (site.now(), site.fleet.all());
-    let span = site.peers.round() * EVENT_SENDS;
+    let span = site.peers.heartbeat_round() * EVENT_SENDS;
     let loads = all.iter().map(own).filter(|(_, l)| l.running > 0).collect();
     let heartbeat = Heartbeat {
         name: site.peers.name.clone(),
         record: site.peers.record.clone(),
         open: site.is_ready(),
         loads,
-        named: recent_announcement_ages(site),
+        announcement_ages: recent_announcement_ages(site),
         news: site.news.borrow_mut().lately(span, now),
         stance: site.stance.get(),
         room: site.room(),
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -104,7 +104,7 @@
     let end = begun + site.settings.load().bounds.grace.saturating_sub(STOP_MARGIN);
     site.stopping.set(Some(Stop { begun, end }));
     tracing::info!(target: "run", handled = site.handled.get(), "stopping");
-    peers::greet(site);
+    peers::send_heartbeats(site);
     let mut quiet_since = site.now();
     let mut answered = site.counters.requests();
     loop {
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -87,11 +87,11 @@
     /// Store availability over time, as judged from all hosts' errors.
     pub soundness: RefCell<Soundness>,
     /// Since when other hosts are known to have newer state.
-    pub behind: Cell<Option<Duration>>,
+    pub outdated_since: Cell<Option<Duration>>,
     /// This host's candidate status for leadership of weights rollouts.
     pub stance: Cell<Stance>,
     /// Until when this host leaves that leadership to others.
-    pub rest: Cell<Duration>,
+    pub no_leadership_until: Cell<Duration>,
     /// Notified when the process stops accepting connections.
     pub stop: Notify,
     /// Notified when the store answers again, was restored from a copy, or has
@@ -134,9 +134,9 @@
             era: Cell::default(),
             store_error: Cell::default(),
             soundness: RefCell::default(),
-            behind: Cell::default(),
+            outdated_since: Cell::default(),
             stance: Cell::default(),
-            rest: Cell::default(),
+            no_leadership_until: Cell::default(),
             stop: Notify::new(),
             regained: Notify::new(),
             duty: Notify::new(),
@@ -162,7 +162,7 @@
 
     /// This host's capacity for leadership of weights rollouts.
     pub fn room(&self) -> Room {
-        match self.now() < self.rest.get() {
+        match self.now() < self.no_leadership_until.get() {
             true => Room::default(),
             false => self.settings.load().capacity.room(),
         }
@@ -192,11 +192,11 @@
     /// Records that a call of this host to the store failed or was slow.
     pub fn note_store_error(&self) {
         self.store_error.set(Some(self.now()));
-        self.judge_store();
+        self.update_store_availability();
     }
 
     /// Updates the store's availability from all hosts' errors.
-    pub fn judge_store(&self) {
+    pub fn update_store_availability(&self) {
         let Some(last_error) = self.store_error.get() else { return };
         let now = self.now();
         let own = Some(now.saturating_sub(last_error));
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -76,16 +76,16 @@
     let is_up_to_date = remote.config <= own.config
         && remote.weights <= own.weights
         && remote.entries <= own.entries;
-    match site.behind.get() {
+    match site.outdated_since.get() {
         _ if is_up_to_date => {}
         Some(since) if now < since + FETCH_DELAY => {}
         // The next fetch is possible only after the same delay again, whether or
         // not this one succeeds.
         Some(since) if now < since + FETCH_DELAY * 2 => {
-            site.behind.set(None);
+            site.outdated_since.set(None);
             ntex::rt::spawn(fetch(site.clone(), from));
         }
-        _ => site.behind.set(Some(now)),
+        _ => site.outdated_since.set(Some(now)),
     }
 }
 
@@ -114,10 +114,10 @@
         hosts = knowledge.hosts.len(), "applied state fetched from another host");
     let source = from.to_string();
     if let Some(catalog) = knowledge.catalog {
-        follow::put_in_force(site, catalog, &source);
+        follow::apply_configuration(site, catalog, &source);
     }
     for (model, version) in knowledge.weights {
-        follow::name_weights(site, &model, version, false, &source);
+        follow::apply_announced_weights(site, &model, version, false, &source);
     }
     poison::take_quarantined(site, knowledge.quarantine, &source);
     site.recalled.set(true);
