--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -88,8 +88,8 @@
         }
         let parsed = record.value.as_deref().map(serde_json::from_slice::<HostRecord>);
         match parsed {
-            None => site.peers.list(&record.key, None),
-            Some(Ok(host)) => site.peers.list(&record.key, Some(host)),
+            None => site.peers.apply_record(&record.key, None),
+            Some(Ok(host)) => site.peers.apply_record(&record.key, Some(host)),
             Some(Err(error)) => {
                 tracing::debug!(target: "peers", key = record.key, %error,
                     "record is not a valid host record");
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -72,7 +72,7 @@
     site.catalog.store(Some(Arc::new(new)));
 }
 
-/// Takes in an announced weights version. `fresh` is set if it was announced just
+/// Processes an announced weights version. `fresh` is set if it was announced just
 /// now, not before this process started.
 pub fn apply_announced_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
     let mut all = site.named.borrow_mut();
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Takes in the store record of the host `name`, or its deletion.
-    pub fn list(&self, name: &str, record: Option<HostRecord>) {
+    /// Processes the store record of the host `name`, or its deletion.
+    pub fn apply_record(&self, name: &str, record: Option<HostRecord>) {
         match record {
             None => drop(self.known.borrow_mut().remove(name)),
             Some(record) => self.add(name, record, "store"),
@@ -246,7 +246,7 @@
         MIN_PEER_TIMEOUT.max(self.heartbeat_round() * MAX_MISSED_HEARTBEATS)
     }
 
-    /// Takes in a heartbeat received at `now`.
+    /// Processes a heartbeat received at `now`.
     pub fn receive_heartbeat(&self, heartbeat: Heartbeat, now: Duration) {
         self.add(&heartbeat.name, heartbeat.record.clone(), "greeting");
         let mut known = self.known.borrow_mut();
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Takes in which weights engines serve, according to the registry.
+/// Records which weights engines serve, according to the registry.
 pub fn apply_weights(site: &Site, reported: &[(u64, Vec<Weights>)]) {
     let reported: HashMap<u64, &Vec<Weights>> = reported.iter().map(|(key, w)| (*key, w)).collect();
     for upstream in site.fleet.all() {
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -34,7 +34,7 @@
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
         versions: warm::versions(site),
-        quarantine: site.poison.lately(span, now),
+        quarantine: site.poison.newest_entries(span, now),
         unreachable: unreachable_keys(&all, now),
     };
     site.peers.send_heartbeat(heartbeat);
@@ -63,7 +63,7 @@
     ages.collect()
 }
 
-/// Takes in when another host learnt of weights versions.
+/// Records when another host learnt of weights versions.
 pub(super) fn apply_announcement_ages(site: &Site, named: &[(String, u64, u64)]) {
     let mut all = site.named.borrow_mut();
     for (model, version, age) in named {
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -76,7 +76,7 @@
 
     /// Number of times that requests were put in quarantine: equal on hosts that
     /// know the same entries.
-    pub fn extent(&self) -> u64 {
+    pub fn quarantine_version(&self) -> u64 {
         self.quarantine.borrow().extent()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// The newest entries learnt within `span` before `now`, for heartbeats.
-    pub fn lately(&self, span: Duration, now: Duration) -> Vec<Quarantined> {
+    pub fn newest_entries(&self, span: Duration, now: Duration) -> Vec<Quarantined> {
         let mut told = self.told.borrow_mut();
         told.retain(|(_, at)| now < *at + span);
         told.iter().rev().take(MAX_GREETED).map(|(entry, _)| entry.clone()).collect()
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -65,7 +65,7 @@
     StateVersions {
         config: site.catalog.load().as_ref().map_or(0, |c| c.version),
         weights: site.named.borrow().values().filter_map(|n| n.newest()).sum(),
-        entries: site.poison.extent(),
+        entries: site.poison.quarantine_version(),
     }
 }
 
@@ -130,7 +130,7 @@
             follow::upstream_changed(site, &id, &change);
         }
         for (name, record) in knowledge.hosts {
-            site.peers.list(&name, Some(record));
+            site.peers.apply_record(&name, Some(record));
         }
         site.listed.set(true);
     }
