--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -1,11 +1,13 @@
-//! The one host that orders new weights.
+//! Leadership of weights rollouts: one host at a time orders engines to change to
+//! new weights.
 //!
-//! The holder is the member of a group in the platform's store to which the
-//! store deals one partition: the store decides, keeps the lease and numbers
-//! each change, and that number is the fencing token. When a host that was
-//! dealt the duty may order is decided by [`marjoram_core::tenure`]. Each
-//! order names the life of the engine and how many orders that has accepted,
-//! so one that arrives late does nothing.
+//! The leader is the member of a candidate group in the platform's store to which
+//! the store assigns the group's only partition. The store decides, keeps the
+//! lease and numbers each reassignment; that number is the fencing token. When a
+//! host that was assigned leadership may send orders is decided by
+//! [`marjoram_core::tenure`]. Each order names the incarnation of the engine and
+//! the number of orders that it has accepted, so an order that arrives late has
+//! no effect.
 
 mod change;
 mod membership;
@@ -29,243 +31,267 @@
 use super::site::Site;
 use super::storeclient::Caller;
 use crate::clock;
-use membership::JOIN_ANSWER;
+use membership::JOIN_TIMEOUT;
 
-/// The group of hosts that may hold the duty, and its topic.
+/// The candidate group in the store, and the topic whose partition is assigned to
+/// the leader.
 const GROUP: &str = "marjoram";
 const TOPIC: &str = "marjoram-duty";
 
-/// The lease asked for, unless the store grants only longer ones. A holder
-/// that is gone is replaced after it.
+/// The lease to request, unless the store's minimum is longer. A leader that has
+/// failed is replaced after it expires.
 const LEASE: Duration = Duration::from_millis(2_700);
 
-/// Longest and shortest time between two looks at what is due.
+/// Longest and shortest time between two checks for due changes.
 const MAX_INTERVAL: Duration = Duration::from_millis(500);
 const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between two looks at the holder's traffic and at engines out of its reach.
+/// Time between two checks of the leader's traffic and of engines that it cannot
+/// reach.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Rounds of greetings within which another host tells that it does not reach
-/// an engine.
-const DOUBT_ROUNDS: u32 = 2;
+/// Heartbeat rounds for which another host's unreachable report for an engine
+/// counts.
+const UNREACHABLE_REPORT_ROUNDS: u32 = 2;
 
-/// Time between two looks at the engines that a former holder has ordered to
-/// change, by one that may not order yet: each costs a question to them.
+/// Time between two polls of the engines that a former leader ordered to change,
+/// by a new leader that may not order yet. Each poll costs a call to each of
+/// these engines.
 const TAKE_OVER_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What the holder knows of the engines it orders.
+/// What the leader knows about one engine.
 #[derive(Debug, Clone, Default)]
-struct Known {
-    /// Orders the engine has accepted.
+struct EngineState {
+    /// Number of orders that the engine has accepted.
     orders: Option<u64>,
-    /// The version it changes to.
+    /// The version to which it is changing.
     changing: Option<u64>,
-    /// Nothing is ordered of it before then.
-    pause: Option<Duration>,
-    /// Attempts that failed one after the other.
+    /// No order is sent to it before this time.
+    retry_at: Option<Duration>,
+    /// Consecutive failed attempts.
     failures: u32,
     /// Since when it has not answered.
-    unreached: Option<Duration>,
+    unreachable_since: Option<Duration>,
 }
 
-/// This host's side of the duty.
-pub struct Duty {
+/// This host's side of the leadership.
+pub struct Leadership {
     site: Rc<Site>,
-    /// Whether and since when it is held, on the clock of [`clock::now`].
+    /// This host's leadership term, on the clock of [`clock::now`].
     tenure: RefCell<Tenure>,
-    /// The group has been left for good.
+    /// Set once the host has left the group for good, when the process stops.
     released: Cell<bool>,
-    known: RefCell<HashMap<Life, Known>>,
-    /// Calls to engines that may be under way, and when the next may begin.
-    calls: Semaphore,
-    paced: Cell<Calls>,
-    /// The group is to be left for a while.
-    hands_over: Cell<bool>,
-    /// The engines that a former holder ordered are being asked.
-    takes_over: Cell<bool>,
+    engine_states: RefCell<HashMap<Life, EngineState>>,
+    /// Limits concurrent calls to engines.
+    call_limit: Semaphore,
+    /// Decides when the next call may begin.
+    call_pacing: Cell<Calls>,
+    /// Set when this host is to leave the group for a while, so that another
+    /// becomes leader.
+    hand_over_requested: Cell<bool>,
+    /// Set while the engines that a former leader ordered to change are being
+    /// polled.
+    takeover_running: Cell<bool>,
 }
 
-/// Starts to stand for the duty and to carry it out while it is held.
-pub fn start(site: &Rc<Site>) -> Rc<Duty> {
-    let duty = Rc::new(Duty {
+/// Starts the tasks that keep this host a candidate and run rollouts while it is
+/// leader.
+pub fn start(site: &Rc<Site>) -> Rc<Leadership> {
+    let leadership = Rc::new(Leadership {
         site: site.clone(),
         tenure: RefCell::new(Tenure::new(lease(site))),
         released: Cell::default(),
-        known: RefCell::default(),
-        calls: Semaphore::new(pace::CALLS),
-        paced: Cell::default(),
-        hands_over: Cell::default(),
-        takes_over: Cell::default(),
+        engine_states: RefCell::default(),
+        call_limit: Semaphore::new(pace::CALLS),
+        call_pacing: Cell::default(),
+        hand_over_requested: Cell::default(),
+        takeover_running: Cell::default(),
     });
-    ntex::rt::spawn(membership::stand(duty.clone()));
-    ntex::rt::spawn(carry_out(duty.clone()));
-    ntex::rt::spawn(watch(duty.clone()));
-    duty
+    ntex::rt::spawn(membership::run(leadership.clone()));
+    ntex::rt::spawn(run_rollouts(leadership.clone()));
+    ntex::rt::spawn(watch(leadership.clone()));
+    leadership
 }
 
-/// Gives the duty up; nothing is ordered from here on.
-pub async fn release(duty: &Duty) {
-    if duty.released.replace(true) {
+/// Gives up leadership and candidacy for good; no order is sent after this call.
+pub async fn release(leadership: &Leadership) {
+    if leadership.released.replace(true) {
         return;
     }
-    leave(duty).await;
+    leave(leadership).await;
 }
 
-/// Leaves the group; nothing is ordered until it is joined again. An order that
-/// is on its way arrives before the store can deal the duty to another.
-async fn leave(duty: &Duty) {
-    let held = duty.tenure.borrow().is_held();
-    duty.tenure.borrow_mut().release();
+/// Leaves the group; no order is sent until it is joined again. The wait lets
+/// orders in flight arrive before the store can assign leadership to another
+/// host.
+async fn leave(leadership: &Leadership) {
+    let held = leadership.tenure.borrow().is_held();
+    leadership.tenure.borrow_mut().release();
     if held {
         tokio::time::sleep(MARGIN).await;
     }
-    let settings = duty.site.settings.load_full();
+    let settings = leadership.site.settings.load_full();
     let leave = store::leave(GROUP, &settings.name);
-    let left = Caller::new(settings.store.addr).call(&leave, &[], JOIN_ANSWER).await;
-    tracing::info!(target: "duty", outcome = ?left.map(|r| r.status), "left the group");
+    let left = Caller::new(settings.store.addr).call(&leave, &[], JOIN_TIMEOUT).await;
+    tracing::info!(target: "duty", outcome = ?left.map(|r| r.status), "left the candidate group");
 }
 
-/// Whether engines are due to change their weights.
-fn is_pending(site: &Site) -> bool {
-    let named = newest(site);
-    engines(site).iter().any(|u| named.iter().any(|w| is_behind(u, w)))
+/// Whether any engine still has to change its weights.
+fn is_rollout_pending(site: &Site) -> bool {
+    let named = newest_weights(site);
+    engines(site).iter().any(|u| named.iter().any(|w| is_outdated(u, w)))
 }
 
-/// Whether `upstream` stays and serves weights that `newest` replaced.
-fn is_behind(upstream: &Upstream, newest: &Weights) -> bool {
+/// Whether `upstream` serves weights older than `newest` and is not leaving.
+fn is_outdated(upstream: &Upstream, newest: &Weights) -> bool {
     let older = upstream.weights(&newest.model).is_some_and(|v| v < newest.version);
     older && !upstream.entry.borrow().leaving
 }
 
-/// The upstreams that the configuration knows as engines: an entry with a
-/// service that it does not name may be anybody's.
+/// The upstreams whose service the configuration declares as an engine. Entries
+/// of other services are left out: any writer could have made them.
 fn engines(site: &Site) -> Vec<Rc<Upstream>> {
     let Some(catalog) = site.catalog() else { return Vec::new() };
     let all = site.fleet.all().into_iter();
     all.filter(|u| catalog.engine(&u.entry.borrow().service).is_some()).collect()
 }
 
-impl Duty {
-    /// The store, asked at `asked`, dealt the duty to this host, or not.
-    fn dealt(self: &Rc<Self>, held: bool, token: Token, asked: Duration) {
+impl Leadership {
+    /// Handles the store's answer to a request sent at `asked`: whether it
+    /// assigned leadership to this host.
+    fn handle_assignment(self: &Rc<Self>, held: bool, token: Token, asked: Duration) {
         let now = clock::now();
-        match self.tenure.borrow_mut().dealt(held, token, asked, now, self.turns()) {
+        match self.tenure.borrow_mut().dealt(held, token, asked, now, self.term_gap()) {
             Dealt::Unchanged => {}
             Dealt::Taken { token, since } => {
                 let settled_ms = now.saturating_sub(since).as_millis() as u64;
-                tracing::info!(target: "duty", token = token.number(), settled_ms, "duty taken");
-                self.known.borrow_mut().retain(|_, known| known.changing.is_some());
-                if !self.takes_over.replace(true) {
+                tracing::info!(target: "duty", token = token.number(), settled_ms,
+                    "became leader of weights rollouts");
+                self.engine_states.borrow_mut().retain(|_, known| known.changing.is_some());
+                if !self.takeover_running.replace(true) {
                     ntex::rt::spawn(take_over(self.clone()));
                 }
             }
             Dealt::Lost { token } => {
-                tracing::info!(target: "duty", token = token.number(), "duty lost")
+                tracing::info!(target: "duty", token = token.number(),
+                    "lost leadership of weights rollouts")
             }
         }
     }
 
-    /// How far apart the orders of two holders must be.
-    fn turns(&self) -> Duration {
+    /// The minimum time between the last order of one leader and the first of the
+    /// next.
+    fn term_gap(&self) -> Duration {
         self.site.settings.load().bounds.lease
     }
 
-    /// The fencing token, while orders may be given.
+    /// The fencing token, while this host may send orders.
     fn token(&self) -> Option<Token> {
-        self.tenure.borrow().token(clock::now(), self.turns())
+        self.tenure.borrow().token(clock::now(), self.term_gap())
     }
 
-    /// Waits until a call to an engine may be made; it is under way until what
-    /// is returned is dropped.
+    /// Waits until a call to an engine may begin. The call counts as in progress
+    /// until the returned permit is dropped.
     async fn call_slot(&self) -> Option<SemaphorePermit<'_>> {
-        let permit = self.calls.acquire().await.ok();
-        let mut paced = self.paced.get();
-        let wait = paced.wait(self.site.settings.load().capacity.link, self.site.now());
-        self.paced.set(paced);
+        let permit = self.call_limit.acquire().await.ok();
+        let mut call_pacing = self.call_pacing.get();
+        let wait = call_pacing.wait(self.site.settings.load().capacity.link, self.site.now());
+        self.call_pacing.set(call_pacing);
         tokio::time::sleep(wait).await;
         permit
     }
 
-    /// Time between two questions to an engine whether it has changed.
-    fn question_pause(&self) -> Duration {
-        let known = self.known.borrow();
+    /// Time between two polls of an engine that is changing.
+    fn poll_interval(&self) -> Duration {
+        let known = self.engine_states.borrow();
         let changing = known.values().filter(|k| k.changing.is_some()).count();
         self.site.settings.load().capacity.link.question_pause(changing)
     }
 
-    /// Whether this host orders and has something to order: while it stops,
-    /// another would first let the bound on turns pass.
+    /// Whether this host may send orders and has some to send. Stopping waits for
+    /// this, since the next leader first has to wait out the bound between two
+    /// leaders' orders.
     pub fn is_busy(&self) -> bool {
-        self.token().is_some() && is_pending(&self.site)
+        self.token().is_some() && is_rollout_pending(&self.site)
     }
 }
 
-/// The lease asked for.
+/// The lease to request from the store.
 fn lease(site: &Site) -> Duration {
     LEASE.max(site.settings.load().store.lease_min)
 }
 
-/// Looks for engines on replaced weights and orders them to change.
-async fn carry_out(duty: Rc<Duty>) {
+/// Runs rollouts: checks for engines on replaced weights and orders them to
+/// change.
+async fn run_rollouts(leadership: Rc<Leadership>) {
     loop {
-        let _ = tokio::time::timeout(MAX_INTERVAL, duty.site.duty.notified()).await;
-        if duty.token().is_some() {
-            look(&duty);
+        let _ = tokio::time::timeout(MAX_INTERVAL, leadership.site.duty.notified()).await;
+        if leadership.token().is_some() {
+            order_due_changes(&leadership);
         }
         tokio::time::sleep(MIN_INTERVAL).await;
     }
 }
 
-/// Hands the duty over if engines are out of this host's reach alone.
-fn look_for_unreached(duty: &Duty) {
-    let (site, mut known) = (&duty.site, duty.known.borrow_mut());
-    let (now, named) = (site.now(), newest(site));
-    let heard = site.peers.round() * DOUBT_ROUNDS;
-    let changing = known.values().filter(|k| k.changing.is_some() && k.unreached.is_none()).count();
-    let behind = |u: &Rc<Upstream>| named.iter().any(|w| is_behind(u, w));
+/// Hands leadership over if this host alone cannot reach some engines.
+fn hand_over_if_unreachable(leadership: &Leadership) {
+    let (site, mut known) = (&leadership.site, leadership.engine_states.borrow_mut());
+    let (now, named) = (site.now(), newest_weights(site));
+    let report_span = site.peers.heartbeat_round() * UNREACHABLE_REPORT_ROUNDS;
+    let changing =
+        known.values().filter(|k| k.changing.is_some() && k.unreachable_since.is_none()).count();
+    let behind = |u: &Rc<Upstream>| named.iter().any(|w| is_outdated(u, w));
     let due = engines(site).into_iter().filter(behind);
     let unreached = due.filter_map(|upstream| {
         let known = known.get_mut(&upstream.life)?;
-        // What others doubt they do not reach either.
-        let since = if upstream.was_doubted(now, heard) { now } else { known.unreached? };
-        known.unreached = known.unreached.map(|_| since);
+        // Engines that other hosts cannot reach either are no reason to hand
+        // over: their time starts anew.
+        let since = if upstream.was_reported_unreachable(now, report_span) {
+            now
+        } else {
+            known.unreachable_since?
+        };
+        known.unreachable_since = known.unreachable_since.map(|_| since);
         let used = upstream.others.get().running > 0;
-        known.unreached.map(|since| Unreached { tried: now.saturating_sub(since), used })
+        known.unreachable_since.map(|since| Unreached { tried: now.saturating_sub(since), used })
     });
-    let stands = membership::view(site).standing() > 0;
-    if candidacy::hands_over(unreached, changing, stands) {
-        duty.hands_over.set(true);
+    let has_other_candidates = membership::view(site).standing() > 0;
+    if candidacy::hands_over(unreached, changing, has_other_candidates) {
+        leadership.hand_over_requested.set(true);
     }
 }
 
-/// Logs what the holder sends and looks for engines that it cannot reach, as
-/// long as engines are due to change.
-async fn watch(duty: Rc<Duty>) {
-    let site = &duty.site;
+/// Every second while a rollout is pending, logs the leader's traffic and checks
+/// for engines that it cannot reach.
+async fn watch(leadership: Rc<Leadership>) {
+    let site = &leadership.site;
     let mut before = site.traffic.totals();
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
         let totals = site.traffic.totals();
-        if duty.tenure.borrow().is_held() && is_pending(site) {
-            let changing =
-                duty.known.borrow().values().filter(|known| known.changing.is_some()).count();
-            look_for_unreached(&duty);
-            tracing::info!(target: "duty", orders = duty.token().is_some(), changing,
-                traffic = ?totals.since(before), "holder's traffic in a second");
+        if leadership.tenure.borrow().is_held() && is_rollout_pending(site) {
+            let changing = leadership
+                .engine_states
+                .borrow()
+                .values()
+                .filter(|known| known.changing.is_some())
+                .count();
+            hand_over_if_unreachable(&leadership);
+            tracing::info!(target: "duty", orders = leadership.token().is_some(), changing,
+                traffic = ?totals.since(before), "leader's traffic in the last second");
         }
         before = totals;
     }
 }
 
-fn look(duty: &Rc<Duty>) {
-    let site = &duty.site;
-    for weights in newest(site) {
+fn order_due_changes(leadership: &Rc<Leadership>) {
+    let site = &leadership.site;
+    for weights in newest_weights(site) {
         let listed: Vec<Rc<Upstream>> = engines(site)
             .into_iter()
             .filter(|u| !u.entry.borrow().leaving && u.weights(&weights.model).is_some())
             .collect();
-        let known = duty.known.borrow();
+        let known = leadership.engine_states.borrow();
         let engines: Vec<rollout::Engine> = listed
             .iter()
             .map(|u| {
@@ -274,7 +300,7 @@
                     life: u.life.clone(),
                     version: u.weights(&weights.model).unwrap_or_default(),
                     changing: state.changing,
-                    pause: state.pause,
+                    pause: state.retry_at,
                     work: u64::from(u.load().running),
                 }
             })
@@ -285,23 +311,25 @@
         let due: Vec<Rc<Upstream>> = due.cloned().collect();
         for upstream in due {
             let life = upstream.life.clone();
-            duty.known.borrow_mut().entry(life).or_default().changing = Some(weights.version);
-            ntex::rt::spawn(change::change(duty.clone(), upstream, weights.clone()));
+            leadership.engine_states.borrow_mut().entry(life).or_default().changing =
+                Some(weights.version);
+            ntex::rt::spawn(change::change(leadership.clone(), upstream, weights.clone()));
         }
     }
 }
 
-/// Goes on telling that engines are closed which a former holder has ordered
-/// to change, until this one may order itself.
-async fn take_over(duty: Rc<Duty>) {
-    let site = &duty.site;
-    while duty.tenure.borrow().is_held() && duty.token().is_none() {
-        for weights in newest(site) {
+/// Until this host may send orders itself, keeps announcing as closed those
+/// engines that a former leader ordered to change and that are still carrying out
+/// the order.
+async fn take_over(leadership: Rc<Leadership>) {
+    let site = &leadership.site;
+    while leadership.tenure.borrow().is_held() && leadership.token().is_none() {
+        for weights in newest_weights(site) {
             let behind = |u: &Rc<Upstream>| {
                 u.is_closed(site.now()) && u.weights(&weights.model) < Some(weights.version)
             };
             let closed: Vec<Rc<Upstream>> = engines(site).into_iter().filter(behind).collect();
-            let ask = |u: Rc<Upstream>| ntex::rt::spawn(change::is_busy(duty.clone(), u));
+            let ask = |u: Rc<Upstream>| ntex::rt::spawn(change::is_changing(leadership.clone(), u));
             let asked: Vec<_> = closed.iter().map(|u| ask(u.clone())).collect();
             let mut busy = Vec::new();
             for (upstream, asked) in closed.into_iter().zip(asked) {
@@ -313,11 +341,11 @@
         }
         tokio::time::sleep(TAKE_OVER_INTERVAL).await;
     }
-    duty.takes_over.set(false);
+    leadership.takeover_running.set(false);
 }
 
-/// The newest weights named of each model.
-fn newest(site: &Site) -> Vec<Weights> {
+/// The newest announced weights version of each model.
+fn newest_weights(site: &Site) -> Vec<Weights> {
     let named = site.named.borrow();
     let newest = |(model, named): (&String, &Named)| {
         Some(Weights { model: model.clone(), version: named.newest()? })
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -1,5 +1,5 @@
-//! How datagrams leave for other hosts: to each of a few, or to all through
-//! some that pass them on.
+//! Sends datagrams to other hosts: directly to a few, or to all through some
+//! hosts that forward them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,48 +9,55 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::message::Message;
-use super::{FANOUT, GONE, Hello, Peer, Peers, SILENCE};
+use super::{FANOUT, GONE_FACTOR, Heartbeat, MIN_PEER_TIMEOUT, Peer, Peers};
 use crate::proxy::traffic::Traffic;
 
-/// Hosts told the same at once, and the shortest pause before the next few.
+/// Hosts that are sent a message at once, and the shortest pause before the next
+/// chunk.
 const CHUNK: usize = 16;
 const CHUNK_PAUSE: Duration = Duration::from_millis(2);
 
-/// What a message to all hosts took of the link.
+/// What a message to all hosts used of the link.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Burst {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: usize,
-    /// Bytes of the largest.
+    /// Size of the largest datagram.
     pub bytes: usize,
 }
 
 impl Peers {
-    /// Sends the next few hosts a greeting.
-    pub fn greet(&self, hello: Hello) {
+    /// Sends a heartbeat to the next few hosts.
+    pub fn send_heartbeat(&self, heartbeat: Heartbeat) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        send(&socket, &self.traffic, &Message::Hello(Box::new(hello)), &self.targets(FANOUT));
+        send(
+            &socket,
+            &self.traffic,
+            &Message::Heartbeat(Box::new(heartbeat)),
+            &self.targets(FANOUT),
+        );
     }
 
-    /// Sends the host at `addr` `message`.
+    /// Sends `message` to the host at `addr`.
     pub fn send_to(&self, addr: SocketAddr, message: &Message) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         send(&socket, &self.traffic, message, &[addr]);
     }
 
-    /// Sends all hosts `message`, through a few of them where there are many.
+    /// Sends `message` to all hosts. Where there are many, a few of them forward
+    /// it.
     pub fn broadcast(&self, message: &Message) -> Burst {
         let Some(socket) = self.socket.borrow().clone() else { return Burst::default() };
-        let hosts = self.present();
+        let hosts = self.present_hosts();
         let listed: Vec<Host> = hosts.iter().map(|(host, _)| *host).collect();
         let mut burst = Burst::default();
-        for leg in spread::plan(&listed, rand::random()) {
-            let to = [hosts[leg.to].1];
-            let bytes = match leg.slice {
+        for target in spread::plan(&listed, rand::random()) {
+            let to = [hosts[target.to].1];
+            let bytes = match target.slice {
                 None => send(&socket, &self.traffic, message, &to),
                 Some(slice) => {
-                    let passed = Message::PassOn(slice, Box::new(message.clone()));
-                    send(&socket, &self.traffic, &passed, &to)
+                    let forward = Message::Forward(slice, Box::new(message.clone()));
+                    send(&socket, &self.traffic, &forward, &to)
                 }
             };
             burst.datagrams += 1;
@@ -59,23 +66,25 @@
         burst
     }
 
-    /// Sends `message` on to the hosts of `slice`, but for the one it is `from`.
+    /// Forwards `message` to the hosts of `slice`, except the one that it came
+    /// `from`.
     pub fn pass_on(&self, slice: Slice, message: &Message, from: SocketAddr) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        let hosts = self.present().into_iter().filter(|(host, _)| slice.holds(host.name));
+        let hosts = self.present_hosts().into_iter().filter(|(host, _)| slice.holds(host.name));
         let addrs: Vec<SocketAddr> =
             hosts.map(|(_, addr)| addr).filter(|addr| *addr != from).collect();
         send(&socket, &self.traffic, message, &addrs);
     }
 
-    /// Sends every host itself what `message` makes, `times` times, a few hosts
-    /// at a time and no faster than half of the link carries.
-    pub fn spread(&self, times: u32, message: impl Fn() -> Message + 'static) {
+    /// Sends every host the result of `message`, directly, `times` times, a few
+    /// hosts at a time and using at most half of the link. `message` is called
+    /// anew for each chunk.
+    pub fn send_to_all(&self, times: u32, message: impl Fn() -> Message + 'static) {
         let all = self.known.borrow().values().map(|p| p.record.peers).collect();
         self.tell(all, times, message);
     }
 
-    /// The same to the hosts at `addrs`.
+    /// Does the same as `send_to_all` for the hosts at `addrs`.
     pub fn tell(
         &self,
         addrs: Vec<SocketAddr>,
@@ -86,9 +95,9 @@
         let (traffic, link) = (self.traffic.clone(), self.link);
         ntex::rt::spawn(async move {
             for _ in 0..times {
-                for some in addrs.chunks(CHUNK) {
-                    let bytes = send(&socket, &traffic, &message(), some);
-                    let pause = link.burst_pause(some.len(), bytes);
+                for chunk in addrs.chunks(CHUNK) {
+                    let bytes = send(&socket, &traffic, &message(), chunk);
+                    let pause = link.burst_pause(chunk.len(), bytes);
                     tokio::time::sleep(CHUNK_PAUSE.max(pause)).await;
                 }
             }
@@ -96,34 +105,37 @@
     }
 
     /// The other hosts that have not been gone for long.
-    fn present(&self) -> Vec<(Host, SocketAddr)> {
-        let (now, gone) = (self.now.get(), self.patience() * GONE);
-        let lately = SILENCE.min(self.patience()).max(self.round() * 3 / 2);
+    fn present_hosts(&self) -> Vec<(Host, SocketAddr)> {
+        let (now, gone) = (self.now.get(), self.peer_timeout() * GONE_FACTOR);
+        let recent_timeout =
+            MIN_PEER_TIMEOUT.min(self.peer_timeout()).max(self.heartbeat_round() * 3 / 2);
         let known = self.known.borrow();
-        let there = known.iter().filter(|(_, p)| now < p.heard.unwrap_or(p.entered) + gone);
+        let present =
+            known.iter().filter(|(_, p)| now < p.last_heartbeat.unwrap_or(p.added) + gone);
         let host = |(name, p): (&String, &Peer)| {
-            let host = Host { name: xxh3_64(name.as_bytes()), heard: p.is_heard(now, lately) };
+            let host =
+                Host { name: xxh3_64(name.as_bytes()), heard: p.is_alive(now, recent_timeout) };
             (host, p.record.peers)
         };
-        there.map(host).collect()
+        present.map(host).collect()
     }
 }
 
-/// Sends `message` to each of `to`; the bytes of one datagram.
+/// Sends `message` to each of `to`. Returns the size of one datagram in bytes.
 fn send(socket: &UdpSocket, traffic: &Traffic, message: &Message, to: &[SocketAddr]) -> usize {
     let bytes = match bincode::serde::encode_to_vec(message, bincode::config::standard()) {
         Ok(bytes) => bytes,
         Err(error) => {
-            tracing::warn!(target: "peers", %error, "datagram not encoded");
+            tracing::warn!(target: "peers", %error, "cannot encode datagram");
             return 0;
         }
     };
     for addr in to {
-        // A datagram that cannot be sent now is lost like any other.
+        // A datagram that cannot be sent now is treated as lost.
         let sent = socket.try_send_to(&bytes, *addr);
         traffic.datagram(bytes.len(), sent.is_ok());
         if let Err(error) = sent {
-            tracing::debug!(target: "peers", %addr, %error, "datagram not sent");
+            tracing::debug!(target: "peers", %addr, %error, "cannot send datagram");
         }
     }
     bytes.len()
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -1,11 +1,11 @@
-//! Greets the other hosts, and takes in what they say.
+//! Exchanges heartbeats and other messages with the other hosts.
 //!
-//! Datagrams with `bincode`: each says everything again a moment later, so a
-//! lost one needs no repair, and a host that has gone costs its peers
-//! nothing. (An `h2` stream to each of eight peers costs a connection's
-//! memory and several system calls a message; nothing here needs order or
-//! delivery.) Nothing here is agreed on: a wrong view costs a caller one detour
-//! or a request a worse place.
+//! Messages are `bincode` datagrams. Each heartbeat repeats everything a moment
+//! later, so a lost one needs no retransmission, and a host that is gone costs
+//! its peers nothing. (An `h2` stream to each of eight peers would cost a
+//! connection's memory and several system calls per message, and nothing here
+//! needs order or delivery.) None of this state is agreed on between hosts: a
+//! wrong view costs a caller one detour, or a request a less suitable engine.
 
 mod greeting;
 
@@ -20,22 +20,23 @@
 use super::hosts::{Message, PERIOD};
 use super::site::Site;
 use super::{cachefeed, notices, poison, quota, warm};
-pub use greeting::greet;
-use greeting::take_ages;
+use greeting::apply_announcement_ages;
+pub use greeting::send_heartbeats;
 
-/// Times each peer is told of an event: a datagram may be lost.
-const SENDS: u32 = 2;
+/// Number of times each peer is sent an event, since a datagram may be lost.
+const EVENT_SENDS: u32 = 2;
 
-/// Largest datagram.
-const DATAGRAM: usize = 16 << 10;
+/// Largest datagram, in bytes.
+const MAX_DATAGRAM: usize = 16 << 10;
 
-/// Greets the other hosts and listens to them until the process ends.
+/// Sends heartbeats and receives messages until the process ends.
 pub async fn run(site: Rc<Site>) {
     let addr = site.peers.record.peers;
     let socket = match UdpSocket::bind(addr).await {
         Ok(socket) => Rc::new(socket),
         Err(error) => {
-            tracing::error!(target: "peers", %addr, %error, "no socket between hosts");
+            tracing::error!(target: "peers", %addr, %error,
+                "cannot bind the socket for messages between hosts");
             return;
         }
     };
@@ -43,14 +44,14 @@
     ntex::rt::spawn(listen(site.clone(), socket));
     loop {
         site.peers.now.set(site.now());
-        site.judge_store();
-        greet(&site);
-        share_loads(&site);
+        site.update_store_availability();
+        send_heartbeats(&site);
+        update_remote_loads(&site);
         tokio::time::sleep(PERIOD).await;
     }
 }
 
-fn share_loads(site: &Site) {
+fn update_remote_loads(site: &Site) {
     let sums = match site.has(Mechanism::Loads) {
         true => site.peers.loads(),
         false => HashMap::new(),
@@ -61,48 +62,52 @@
 }
 
 async fn listen(site: Rc<Site>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0u8; DATAGRAM];
+    let mut buf = vec![0u8; MAX_DATAGRAM];
     loop {
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
-            // A reset from a port without a listener: that peer is down.
+            // An error reported for a port without a listener: that peer is down.
             tokio::task::yield_now().await;
             continue;
         };
         let config = bincode::config::standard();
         match bincode::serde::decode_from_slice::<Message, _>(&buf[..len], config) {
-            Ok((Message::PassOn(slice, message), _)) => {
+            Ok((Message::Forward(slice, message), _)) => {
                 site.peers.pass_on(slice, &message, from);
-                hear(&site, *message, from);
+                handle(&site, *message, from);
             }
-            Ok((message, _)) => hear(&site, message, from),
-            Err(error) => tracing::warn!(target: "peers", %from, %error, "datagram not understood"),
+            Ok((message, _)) => handle(&site, message, from),
+            Err(error) => tracing::warn!(target: "peers", %from, %error, "cannot decode datagram"),
         }
     }
 }
 
-/// Takes in what the host at `from` says or passes on.
-fn hear(site: &Rc<Site>, message: Message, from: SocketAddr) {
+/// Processes a message that the host at `from` sent or forwarded.
+fn handle(site: &Rc<Site>, message: Message, from: SocketAddr) {
     match message {
-        Message::Hello(mut hello) => {
-            let told = site.has(Mechanism::Doubts);
-            let doubts = |u: &Rc<Upstream>| told && hello.doubts.contains(&u.key);
-            site.fleet.all().iter().filter(|u| doubts(u)).for_each(|u| u.heard_doubt(site.now()));
-            take_ages(site, &hello.named);
-            cachefeed::hear(site, &hello.news);
-            warm::compare(site, from, &hello.extent);
-            poison::hear_quarantined(site, std::mem::take(&mut hello.quarantine));
-            site.peers.hear(*hello, site.now());
+        Message::Heartbeat(mut heartbeat) => {
+            let in_use = site.has(Mechanism::Doubts);
+            let is_reported = |u: &Rc<Upstream>| in_use && heartbeat.unreachable.contains(&u.key);
+            site.fleet
+                .all()
+                .iter()
+                .filter(|u| is_reported(u))
+                .for_each(|u| u.note_unreachable_report(site.now()));
+            apply_announcement_ages(site, &heartbeat.announcement_ages);
+            cachefeed::hear(site, &heartbeat.news);
+            warm::compare(site, from, &heartbeat.versions);
+            poison::hear_quarantined(site, std::mem::take(&mut heartbeat.quarantine));
+            site.peers.receive_heartbeat(*heartbeat, site.now());
         }
-        Message::Notices(told) => notices::take(site, &told),
+        Message::Notices(notices) => notices::receive(site, &notices),
         Message::Relay(relay) => {
-            notices::take_weights(site, &relay.weights);
-            site.relays.hear(relay, site.now());
+            notices::apply_weights(site, &relay.weights);
+            site.relays.receive(relay, site.now());
         }
         Message::Crashes(reports) => poison::hear_reports(site, &reports),
         Message::Quarantine(entries) => poison::hear_quarantined(site, entries),
         Message::Usages(sender, usages) => quota::hear_usages(site, sender, &usages, from),
         Message::Verdicts(account, verdicts) => quota::hear_verdicts(site, account, &verdicts),
-        // A message is passed on once.
-        Message::PassOn(..) => {}
+        // A message is forwarded only once.
+        Message::Forward(..) => {}
     }
 }
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -1,58 +1,60 @@
-//! What a host tells of itself when it greets others.
+//! The content of the heartbeats that a host sends.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::SENDS;
+use super::EVENT_SENDS;
 use crate::proxy::fleet::Upstream;
-use crate::proxy::hosts::Hello;
+use crate::proxy::hosts::Heartbeat;
 use crate::proxy::site::Site;
 use crate::proxy::warm;
 
-/// How long hosts tell each other when weights were named: an engine that
-/// could not be reached may still be on weights that were replaced long ago.
+/// How long hosts include the time of an announcement of weights in heartbeats.
+/// An engine that was unreachable may still be on weights that were replaced long
+/// ago.
 const MAX_WEIGHTS_AGE: Duration = Duration::from_secs(600);
 
-/// Upstreams in doubt that one greeting names: half a kilobyte.
-const MAX_DOUBTS: usize = 64;
+/// Unreachable upstreams named in one heartbeat; they take half a kilobyte.
+const MAX_UNREACHABLE: usize = 64;
 
-/// Tells a few hosts how this one is.
-pub fn greet(site: &Site) {
+/// Sends a heartbeat to the next few hosts.
+pub fn send_heartbeats(site: &Site) {
     let own = |u: &Rc<Upstream>| (u.key, u.own.get());
     let (now, all) = (site.now(), site.fleet.all());
-    let span = site.peers.round() * SENDS;
+    let span = site.peers.heartbeat_round() * EVENT_SENDS;
     let loads = all.iter().map(own).filter(|(_, l)| l.running > 0).collect();
-    let hello = Hello {
+    let heartbeat = Heartbeat {
         name: site.peers.name.clone(),
         record: site.peers.record.clone(),
         open: site.is_ready(),
         loads,
-        named: lately_named(site),
+        announcement_ages: recent_announcement_ages(site),
         news: site.news.borrow_mut().lately(span, now),
         stance: site.stance.get(),
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
-        extent: warm::extent(site),
-        quarantine: site.poison.lately(span, now),
-        doubts: doubts(&all, now),
+        versions: warm::versions(site),
+        quarantine: site.poison.newest_entries(span, now),
+        unreachable: unreachable_keys(&all, now),
     };
-    site.peers.greet(hello);
+    site.peers.send_heartbeat(heartbeat);
 }
 
-/// Some of the upstreams that this host cannot reach, drawn anew each time.
-fn doubts(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
+/// Keys of upstreams that this host cannot reach, starting at a random one each
+/// time if there are too many.
+fn unreachable_keys(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
     let lost = all.iter().filter(|u| u.health.borrow().is_lost(now));
     let mut keys: Vec<u64> = lost.map(|u| u.key).collect();
-    if keys.len() > MAX_DOUBTS {
+    if keys.len() > MAX_UNREACHABLE {
         let first = rand::random_range(0..keys.len());
         keys.rotate_left(first);
-        keys.truncate(MAX_DOUBTS);
+        keys.truncate(MAX_UNREACHABLE);
     }
     keys
 }
 
-/// Weights named so lately that it matters when.
-fn lately_named(site: &Site) -> Vec<(String, u64, u64)> {
+/// Weights versions announced so recently that their age matters.
+fn recent_announcement_ages(site: &Site) -> Vec<(String, u64, u64)> {
     let (now, named) = (site.now(), site.named.borrow());
     let ages = named.iter().flat_map(|(model, n)| {
         let ages = n.ages(now, MAX_WEIGHTS_AGE).into_iter();
@@ -61,8 +63,8 @@
     ages.collect()
 }
 
-/// Takes in when another host learnt of weights.
-pub(super) fn take_ages(site: &Site, named: &[(String, u64, u64)]) {
+/// Records when another host learnt of weights versions.
+pub(super) fn apply_announcement_ages(site: &Site, named: &[(String, u64, u64)]) {
     let mut all = site.named.borrow_mut();
     for (model, version, age) in named {
         if let Some(known) = all.get_mut(model) {
--- a/crates/router/src/proxy/relay.rs
+++ b/crates/router/src/proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller, whole or event by event.
+//! Forwards an answer to the caller: a complete body, or a stream event by event.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use super::request::{Answer, Exchange};
 use super::site::Site;
 
-/// Silence inside a stream after which its upstream is probed; the stream is
-/// resumed elsewhere only if the upstream does not answer. An engine that lacks
-/// memory suspends a stream for seconds, and there may be no other that can
-/// resume it. Callers give up after two seconds.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_200);
+/// Silence within a stream after which its upstream is probed. The stream is
+/// resumed elsewhere only if the upstream does not answer the probe: an engine
+/// short of memory suspends a stream for seconds, and there may be no other
+/// engine that can resume it. Callers give up after two seconds.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Bytes of a caller's next request that are read ahead.
 pub const READ_AHEAD: usize = 64 << 10;
@@ -27,18 +27,18 @@
 /// How an exchange with a caller ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// Answered with this status; the connection may go on.
+    /// Answered with this status; the connection may be used again.
     Answered(u16),
-    /// Refused by the router; the connection may go on.
+    /// Refused by the router; the connection may be used again.
     Refused(Refusal),
-    /// The caller left.
+    /// The caller disconnected.
     Left,
-    /// The answer had begun and broke off; the connection must be reset.
+    /// The answer broke off after it had begun; the connection must be reset.
     Cut(String),
 }
 
-/// Sends the request of `exchange` and passes its answer on to `caller`;
-/// `last` when the connection closes after this answer.
+/// Sends the request of `exchange` and forwards the answer to `caller`. `last` is
+/// set if the connection closes after this answer.
 pub async fn run(site: &Site, caller: &mut Conn, exchange: &mut Exchange, last: bool) -> Outcome {
     let answer = tokio::select! {
         answer = exchange.open(None) => answer,
@@ -46,12 +46,12 @@
     };
     match answer {
         Err(refusal) => Outcome::Refused(refusal),
-        Ok(Answer::Failed(opened, body)) => failed(site, caller, opened, &body, last).await,
+        Ok(Answer::Failed(opened, body)) => forward_error(site, caller, opened, &body, last).await,
         Ok(Answer::Open(opened, flight)) if exchange.route.kind.streams() && is_stream(&opened) => {
             Stream::new(site, exchange, last).relay(caller, opened, flight).await
         }
         Ok(Answer::Open(opened, flight)) => {
-            whole(site, caller, exchange, opened, flight, last).await
+            forward_buffered(site, caller, exchange, opened, flight, last).await
         }
     }
 }
@@ -61,7 +61,7 @@
     (200..300).contains(&opened.head.status) && kind.starts_with("text/event-stream")
 }
 
-/// The head of an upstream's answer for the caller.
+/// The head of the answer to the caller, made from the upstream's.
 fn head(opened: &Opened, last: bool) -> ResponseWriter {
     let mut writer = ResponseWriter::new(opened.head.status);
     for (name, value) in opened.head.headers.end_to_end() {
@@ -73,8 +73,8 @@
     writer
 }
 
-/// Passes a failure on that an upstream answered.
-async fn failed(
+/// Forwards an error response of an upstream.
+async fn forward_error(
     site: &Site,
     caller: &mut Conn,
     opened: Opened,
@@ -82,7 +82,7 @@
     last: bool,
 ) -> Outcome {
     let status = opened.head.status;
-    // To a caller these statuses promise that the request has not run.
+    // Callers take these statuses as a promise that the request was not executed.
     if matches!(status, 408 | 421 | 429 | 503) && !opened.mark.not_run {
         opened.finish(site.now());
         return Outcome::Refused(Refusal::with_status(
@@ -98,9 +98,9 @@
     }
 }
 
-/// Passes on an answer that has been collected whole, so that one that is
-/// cut short is never taken for complete.
-async fn whole(
+/// Forwards an answer after its body has been received completely, so that the
+/// caller never takes a truncated one for complete.
+async fn forward_buffered(
     site: &Site,
     caller: &mut Conn,
     exchange: &mut Exchange,
@@ -145,32 +145,32 @@
                 match again {
                     Err(refusal) => return Outcome::Refused(refusal),
                     Ok(Answer::Failed(opened, body)) => {
-                        return failed(site, caller, opened, &body, last).await;
+                        return forward_error(site, caller, opened, &body, last).await;
                     }
-                    Ok(Answer::Open(next, counted)) => (opened, flight) = (next, counted),
+                    Ok(Answer::Open(next, next_flight)) => (opened, flight) = (next, next_flight),
                 }
             }
         }
     }
 }
 
-/// A stream of events on its way to a caller.
+/// A stream of events being forwarded to a caller.
 struct Stream<'a> {
     site: &'a Site,
     exchange: &'a mut Exchange,
     last: bool,
     splitter: Splitter,
-    /// The head, until it has been written.
+    /// The response head, until it has been written.
     head: Option<BytesMut>,
-    /// Id of the last event passed on.
-    passed: Option<u64>,
-    /// Something has been passed on.
+    /// Id of the last event forwarded.
+    last_event_id: Option<u64>,
+    /// Some bytes have been forwarded.
     begun: bool,
 }
 
-/// The next step of a stream.
+/// Result of waiting for more of a stream.
 enum Step {
-    Go,
+    Continue,
     Ended,
     Broken(Failure),
     Expired,
@@ -185,7 +185,7 @@
             last,
             splitter: Splitter::new(),
             head: None,
-            passed: None,
+            last_event_id: None,
             begun: false,
         }
     }
@@ -195,7 +195,7 @@
         loop {
             let step = self.step(caller, &mut opened).await;
             let failure = match step {
-                Step::Go => continue,
+                Step::Continue => continue,
                 Step::Left => return Outcome::Left,
                 Step::Expired if self.begun => return Outcome::Cut("route's time is up".into()),
                 Step::Expired => return Outcome::Refused(self.exchange.expired()),
@@ -216,18 +216,18 @@
             drop((opened, flight));
             self.splitter.clear();
             let again = tokio::select! {
-                again = self.exchange.open(self.passed) => again,
+                again = self.exchange.open(self.last_event_id) => again,
                 () = caller.gone(READ_AHEAD) => return Outcome::Left,
             };
             match again {
-                Ok(Answer::Open(next, counted)) if is_stream(&next) => {
+                Ok(Answer::Open(next, next_flight)) if is_stream(&next) => {
                     self.site.counters.count("stream.resumed");
-                    tracing::info!(target: "stream", id = self.exchange.id(), passed = self.passed,
-                        upstream = %next.upstream.life, after = %failure, "stream taken up again");
+                    tracing::info!(target: "stream", id = self.exchange.id(), passed = self.last_event_id,
+                        upstream = %next.upstream.life, after = %failure, "stream resumed");
                     if !self.begun {
                         self.head = Some(head(&next, self.last).chunked());
                     }
-                    (opened, flight) = (next, counted);
+                    (opened, flight) = (next, next_flight);
                 }
                 Err(refusal) if self.begun => {
                     return Outcome::Cut(format!("{failure}; not resumed: {}", refusal.why));
@@ -235,7 +235,7 @@
                 _ if self.begun => return Outcome::Cut(format!("{failure}; not resumed")),
                 Err(refusal) => return Outcome::Refused(refusal),
                 Ok(Answer::Failed(opened, body)) => {
-                    return failed(self.site, caller, opened, &body, self.last).await;
+                    return forward_error(self.site, caller, opened, &body, self.last).await;
                 }
                 Ok(Answer::Open(..)) => {
                     return Outcome::Refused(Refusal::with_status(502, "no stream came"));
@@ -244,40 +244,41 @@
         }
     }
 
-    /// Waits for more of the stream and passes on the events that are whole.
+    /// Waits for more of the stream and forwards the events that are complete.
     async fn step(&mut self, caller: &mut Conn, opened: &mut Opened) -> Step {
-        let silence = match self.exchange.may_resume() {
-            true => STREAM_SILENCE,
+        let idle_limit = match self.exchange.may_resume() {
+            true => STREAM_IDLE_TIMEOUT,
             false => self.exchange.left(),
         };
-        let until = (self.site.now() + silence).min(self.exchange.expires);
+        let until = (self.site.now() + idle_limit).min(self.exchange.expires);
         let data = tokio::select! {
             data = tokio::time::timeout_at(self.site.at(until), opened.next_data()) => data,
             () = caller.gone(READ_AHEAD) => return Step::Left,
         };
         match data {
             Err(_) if self.site.now() >= self.exchange.expires => return Step::Expired,
-            Err(_) if reports::answers(&opened.upstream).await => return Step::Go,
-            Err(_) => return Step::Broken(Failure::Silent(silence)),
+            Err(_) if reports::answers(&opened.upstream).await => return Step::Continue,
+            Err(_) => return Step::Broken(Failure::Silent(idle_limit)),
             Ok(Err(failure)) => return Step::Broken(failure),
             Ok(Ok(None)) => return Step::Ended,
             Ok(Ok(Some(data))) => self.splitter.push(&data),
         }
         opened.upstream.health.borrow_mut().alive(self.site.now());
-        match self.pass(caller).await {
-            true => Step::Go,
+        match self.forward_events(caller).await {
+            true => Step::Continue,
             false => Step::Left,
         }
     }
 
-    /// Passes on whole events; false when the caller has gone.
-    async fn pass(&mut self, caller: &mut Conn) -> bool {
+    /// Forwards complete events; returns false if the caller has disconnected.
+    async fn forward_events(&mut self, caller: &mut Conn) -> bool {
         let mut data = BytesMut::new();
         while let Some(event) = self.splitter.next_event() {
-            match (event.id, self.passed) {
-                // A resumed stream may begin with what has been passed on.
+            match (event.id, self.last_event_id) {
+                // A resumed stream may begin with events that have already been
+                // forwarded.
                 (Some(id), Some(passed)) if id <= passed => continue,
-                (Some(id), _) => self.passed = Some(id),
+                (Some(id), _) => self.last_event_id = Some(id),
                 (None, _) => {}
             }
             data.extend_from_slice(&event.bytes);
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -1,4 +1,4 @@
-//! The life of the process: start, reload, stop.
+//! Process lifecycle: start, settings reload, shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
-use super::duty::{self, Duty};
+use super::duty::{self, Leadership};
 use super::logs::Logs;
 use super::options::ProxyOptions;
 use super::site::Site;
@@ -20,23 +20,24 @@
 /// New connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Time between looks at the settings file, which may change unannounced.
+/// Time between checks of the settings file, which may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Shortest time to go on serving after a request to stop: callers keep an
+/// Shortest time to go on serving after a request to stop: callers cache an
 /// answer that names this host for two seconds.
 const MIN_STOP: Duration = Duration::from_millis(2_500);
 
-/// A stop is complete when no request came for so long.
+/// A stop is complete once no request has come for this long.
 const STOP_QUIET: Duration = Duration::from_millis(600);
 
-/// Time kept back from what a stop may take.
+/// Safety margin subtracted from the time that a stop may take.
 const STOP_MARGIN: Duration = Duration::from_millis(600);
 
-/// Time kept for giving up a duty that is still carried out.
-const STOP_LEAVE: Duration = Duration::from_millis(1_400);
+/// Time reserved at the end of a stop for giving up leadership while a rollout is
+/// in progress.
+const STOP_LEADERSHIP_MARGIN: Duration = Duration::from_millis(1_400);
 
-/// Runs the proxy until it is told to stop.
+/// Runs the proxy until it receives a signal to stop.
 pub async fn run(options: ProxyOptions) -> Result<(), Error> {
     let logs = logs::init();
     let path = options.settings;
@@ -47,18 +48,19 @@
     let site = Site::new(host, options.policy, options.without);
     let listening = site.settings.load_full();
     let callers_listener = listen(listening.callers)?;
-    let mut questions = Vec::new();
+    let mut status_listeners = Vec::new();
     for addr in [listening.ready, listening.directory].into_iter().flatten() {
-        questions.push(listen(addr)?);
+        status_listeners.push(listen(addr)?);
     }
     let metrics = SocketAddr::new(listening.ip, options.metrics_port);
     match listen(metrics) {
-        Ok(listener) => questions.push(listener),
-        // Requests are served without metrics; the state stands elsewhere too.
-        Err(error) => tracing::error!(target: "run", %error, "no metrics"),
+        Ok(listener) => status_listeners.push(listener),
+        // Requests are served without metrics too; the state dump is also
+        // available on the other listeners.
+        Err(error) => tracing::error!(target: "run", %error, "metrics not available"),
     }
     ntex::rt::spawn(callers::serve(site.clone(), callers_listener));
-    for listener in questions {
+    for listener in status_listeners {
         ntex::rt::spawn(entry::serve(site.clone(), listener, logs.dropped.clone()));
     }
     follow::start(&site);
@@ -67,12 +69,12 @@
     ntex::rt::spawn(notices::run(site.clone()));
     ntex::rt::spawn(poison::keep(site.clone()));
     ntex::rt::spawn(quota::run(site.clone()));
-    let offers = listen(site.peers.record.peers)?;
-    ntex::rt::spawn(warm::serve(site.clone(), offers));
-    let duty = duty::start(&site);
+    let warm_listener = listen(site.peers.record.peers)?;
+    ntex::rt::spawn(warm::serve(site.clone(), warm_listener));
+    let leadership = duty::start(&site);
     ntex::rt::spawn(watch_settings(site.clone(), path));
     wait_for_stop().await?;
-    stop(&site, &duty, &logs).await;
+    stop(&site, &leadership, &logs).await;
     Ok(())
 }
 
@@ -95,29 +97,29 @@
     Ok(())
 }
 
-/// Stops without cutting a request: callers are sent elsewhere first. A host
-/// that is bringing engines to new weights goes on with that meanwhile.
-async fn stop(site: &Rc<Site>, duty: &Duty, logs: &Logs) {
+/// Stops without interrupting a request: callers are sent to other hosts first. A
+/// leader that is changing engines' weights goes on with that in the meantime.
+async fn stop(site: &Rc<Site>, leadership: &Leadership, logs: &Logs) {
     let begun = site.now();
     let end = begun + site.settings.load().bounds.grace.saturating_sub(STOP_MARGIN);
     site.stopping.set(Some(Stop { begun, end }));
     tracing::info!(target: "run", handled = site.handled.get(), "stopping");
-    peers::greet(site);
+    peers::send_heartbeats(site);
     let mut quiet_since = site.now();
     let mut answered = site.counters.requests();
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
         let now = site.now();
-        if !duty.is_busy() || now + STOP_LEAVE >= end {
-            duty::release(duty).await;
+        if !leadership.is_busy() || now + STOP_LEADERSHIP_MARGIN >= end {
+            duty::release(leadership).await;
         }
-        let seen = site.counters.requests();
-        if site.handled.get() > 0 || seen != answered {
-            answered = seen;
+        let requests = site.counters.requests();
+        if site.handled.get() > 0 || requests != answered {
+            answered = requests;
             quiet_since = now;
         }
         let quiet = now - quiet_since >= STOP_QUIET && now - begun >= MIN_STOP;
-        let quiet = quiet && !duty.is_busy();
+        let quiet = quiet && !leadership.is_busy();
         if quiet || now >= end {
             break;
         }
@@ -127,26 +129,26 @@
         lines_dropped = logs.dropped.dropped_lines(), "stopped");
 }
 
-/// Reads the settings again on a signal, and when the file has changed.
+/// Reloads the settings on SIGHUP, and when the file has changed.
 async fn watch_settings(site: Rc<Site>, path: String) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        tracing::error!(target: "run", "cannot watch for reloads");
+        tracing::error!(target: "run", "cannot listen for SIGHUP; settings will not be reloaded");
         return;
     };
-    let mut seen = changed_at(&path);
+    let mut last_change = changed_at(&path);
     loop {
         let asked = tokio::select! {
             _ = hangup.recv() => true,
             () = tokio::time::sleep(SETTINGS_INTERVAL) => false,
         };
         let at = changed_at(&path);
-        if !asked && at == seen {
+        if !asked && at == last_change {
             continue;
         }
-        seen = at;
+        last_change = at;
         match settings::load(&path) {
             Ok(new) if new == **site.settings.load() => {
-                tracing::info!(target: "run", asked, "settings read again, unchanged");
+                tracing::info!(target: "run", asked, "settings reloaded, unchanged");
             }
             Ok(new) => {
                 tracing::info!(target: "run", asked, store = %new.store.addr, "settings changed");
@@ -154,7 +156,8 @@
                 site.regained.notify_waiters();
             }
             Err(error) => {
-                tracing::error!(target: "run", asked, %error, "settings not understood, old ones kept");
+                tracing::error!(target: "run", asked, %error,
+                    "cannot load settings; keeping the current ones");
             }
         }
     }
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -1,9 +1,9 @@
-//! What a host fetches from another one while it cannot read the store.
+//! Fetches what another host knows while this one cannot read the store.
 //!
-//! A host that starts while the store is away, or that the store rejects, sees
-//! in the others' greetings that they know a newer configuration or newer
-//! weights, and fetches what they know. The store stays the source of truth:
-//! its records are newer or the same, and versions only rise, so applying
+//! A host that starts while the store is unavailable, or that the store rejects,
+//! sees in the others' heartbeats that they have a newer configuration or newer
+//! weights, and fetches their knowledge. The store remains the source of truth:
+//! its records are newer or the same, and versions only increase, so applying
 //! something twice or late does no harm.
 
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 use tokio::net::TcpListener;
 
 use super::follow;
-use super::hosts::{Extent, HostRecord};
+use super::hosts::{HostRecord, StateVersions};
 use super::poison;
 use super::site::Site;
 use crate::link;
 
-/// How long a difference must last before it is fetched: in steady state all
+/// How long a difference must last before it is fetched: in steady state, all
 /// hosts read the store within a few milliseconds of each other.
 const FETCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest time for another host's answer.
-const ANSWER: Duration = Duration::from_millis(1_500);
+/// Time limit for another host's answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a host knows.
+/// What a host knows, as sent to hosts that ask.
 #[derive(Debug, Serialize, Deserialize)]
 struct Knowledge {
     catalog: Option<Catalog>,
-    /// Newest weights by model.
+    /// Newest announced weights version by model.
     weights: Vec<(String, u64)>,
     upstreams: Vec<Entry>,
     hosts: Vec<(String, HostRecord)>,
-    /// Entries of the quarantine.
+    /// Quarantined requests.
     quarantine: Vec<Quarantined>,
 }
 
-/// Answers other hosts that ask what this one knows.
+/// Answers other hosts' requests for what this host knows.
 pub async fn serve(site: Rc<Site>, listener: TcpListener) {
     link::serve(listener, move |_| {
         let named = site.named.borrow();
@@ -60,30 +60,32 @@
     .await;
 }
 
-/// How much this host knows.
-pub fn extent(site: &Site) -> Extent {
-    Extent {
+/// Versions of what this host knows, for heartbeats.
+pub fn versions(site: &Site) -> StateVersions {
+    StateVersions {
         config: site.catalog.load().as_ref().map_or(0, |c| c.version),
         weights: site.named.borrow().values().filter_map(|n| n.newest()).sum(),
-        entries: site.poison.extent(),
+        entries: site.poison.quarantine_version(),
     }
 }
 
-/// Compares what the host at `from` says it knows with what this one does.
-pub fn compare(site: &Rc<Site>, from: SocketAddr, theirs: &Extent) {
-    let (own, now) = (extent(site), site.now());
-    let knows = theirs.config <= own.config
-        && theirs.weights <= own.weights
-        && theirs.entries <= own.entries;
-    match site.behind.get() {
-        _ if knows => {}
+/// Compares the versions reported by the host at `from` with this host's, and
+/// fetches its knowledge if this host has lacked some for long enough.
+pub fn compare(site: &Rc<Site>, from: SocketAddr, remote: &StateVersions) {
+    let (own, now) = (versions(site), site.now());
+    let is_up_to_date = remote.config <= own.config
+        && remote.weights <= own.weights
+        && remote.entries <= own.entries;
+    match site.outdated_since.get() {
+        _ if is_up_to_date => {}
         Some(since) if now < since + FETCH_DELAY => {}
-        // Fetched or not, the next check is due after the same time again.
+        // The next fetch is possible only after the same delay again, whether or
+        // not this one succeeds.
         Some(since) if now < since + FETCH_DELAY * 2 => {
-            site.behind.set(None);
+            site.outdated_since.set(None);
             ntex::rt::spawn(fetch(site.clone(), from));
         }
-        _ => site.behind.set(Some(now)),
+        _ => site.outdated_since.set(Some(now)),
     }
 }
 
@@ -92,9 +94,9 @@
         let sender = link::connect(from).await?;
         link::ask(sender, from, Bytes::new()).await
     };
-    let answer = match tokio::time::timeout(ANSWER, asked).await {
+    let answer = match tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
         Ok(answer) => answer,
-        Err(_) => Err(format!("no answer in {} ms", ANSWER.as_millis())),
+        Err(_) => Err(format!("no answer in {} ms", ANSWER_TIMEOUT.as_millis())),
     };
     let decoded = answer.and_then(|bytes| {
         bincode::serde::decode_from_slice::<Knowledge, _>(&bytes, bincode::config::standard())
@@ -102,24 +104,25 @@
             .map_err(|e| e.to_string())
     });
     match decoded {
-        Ok(knowledge) => take(&site, from, knowledge),
-        Err(why) => tracing::warn!(target: "warm", %from, why, "nothing taken over"),
+        Ok(knowledge) => apply(&site, from, knowledge),
+        Err(why) => tracing::warn!(target: "warm", %from, why, "cannot fetch another host's state"),
     }
 }
 
-fn take(site: &Site, from: SocketAddr, knowledge: Knowledge) {
+fn apply(site: &Site, from: SocketAddr, knowledge: Knowledge) {
     tracing::info!(target: "warm", %from, upstreams = knowledge.upstreams.len(),
-        hosts = knowledge.hosts.len(), "another host's knowledge taken over");
+        hosts = knowledge.hosts.len(), "applied state fetched from another host");
     let source = from.to_string();
     if let Some(catalog) = knowledge.catalog {
-        follow::put_in_force(site, catalog, &source);
+        follow::apply_configuration(site, catalog, &source);
     }
     for (model, version) in knowledge.weights {
-        follow::name_weights(site, &model, version, false, &source);
+        follow::apply_announced_weights(site, &model, version, false, &source);
     }
     poison::take_quarantined(site, knowledge.quarantine, &source);
     site.recalled.set(true);
-    // Once the store has listed the upstreams, its records are newer.
+    // Once this host has listed the upstreams in the store, its own records are
+    // newer.
     if !site.listed.get() {
         for entry in knowledge.upstreams {
             let id = entry.life.id.clone();
@@ -127,7 +130,7 @@
             follow::upstream_changed(site, &id, &change);
         }
         for (name, record) in knowledge.hosts {
-            site.peers.list(&name, Some(record));
+            site.peers.apply_record(&name, Some(record));
         }
         site.listed.set(true);
     }
