--- a/crates/router/src/proxy.rs
+++ b/crates/router/src/proxy.rs
@@ -1,9 +1,9 @@
 //! The proxy: routes callers' requests to upstreams by the published
-//! configuration, and passes their answers on.
+//! configuration, and forwards the answers.
 //!
-//! One thread runs everything: an entry host has a fraction of one core.
-//! State that requests read is swapped whole ([`arc_swap`]) or counted in
-//! cells of its owner; no lock is held across an await.
+//! One thread runs everything, since an entry host has a fraction of one core.
+//! State that requests read is either replaced as a whole ([`arc_swap`]) or kept
+//! in cells of the component that owns it; no lock is held across an await.
 
 mod answer;
 mod attempt;
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -1,5 +1,5 @@
-//! A caller's request on its way: which upstreams it is sent to, and what is
-//! answered when none brings an answer.
+//! The life cycle of a caller's request: which upstreams it is sent to, when it
+//! is retried, and what the caller gets if no upstream answers.
 
 mod choose;
 mod send;
@@ -29,72 +29,76 @@
 use choose::Chosen;
 use send::Sent;
 
-/// Unreachable upstreams that one request tries.
+/// Unreachable upstreams that one request tries before it is refused.
 const MAX_CONNECT_TRIES: u32 = 4;
 
-/// Times a request is sent again because an upstream's weights had changed.
+/// Times that a request is sent to an upstream again because the upstream had
+/// changed its weights.
 const MAX_WEIGHTS_TRIES: u32 = 2;
 
-/// Time between checks for an engine while a large prompt waits.
-const HOLD_INTERVAL: Duration = Duration::from_millis(40);
+/// Time between checks while a request waits at the router.
+const WAIT_INTERVAL: Duration = Duration::from_millis(40);
 
-/// A request that has been read whole.
+/// A caller's request, with its whole body.
 pub struct Request {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Bytes,
-    /// When its first byte came.
+    /// When its first byte was received.
     pub started: Duration,
-    /// What it says of itself.
+    /// The parameters in its headers.
     pub asked: Asked,
 }
 
-/// What a send brought.
+/// An upstream's answer to the request.
 pub enum Answer {
-    /// An answer, with its body still to come.
+    /// An answer that has begun; its body is still to be read.
     Open(Opened, Flight),
-    /// A failure that an upstream answered, in full.
+    /// A failure that an upstream answered, with its whole body.
     Failed(Opened, BytesMut),
 }
 
-/// A request that may be sent: allowed, and with somewhere to go.
+/// A request that has been admitted, and the state of its sends.
 pub struct Exchange {
     site: Rc<Site>,
     request: Request,
-    /// The configuration it is handled by.
+    /// The configuration in force when it was received.
     catalog: Arc<Catalog>,
     /// Its route.
     pub route: Arc<Route>,
     service: String,
     workspace: Option<Arc<Workspace>>,
-    /// What it counts against its workspace's quota.
+    /// What was charged to its workspace's quota; refunded if it never runs.
     charge: Option<Charge>,
-    /// What it shares with other attempts of the same request.
+    /// Hash of the request, equal for all attempts of the same request.
     fingerprint: Fingerprint,
-    /// When its answer is due at the latest.
+    /// The deadline of its answer.
     pub expires: Duration,
-    /// Upstreams it was sent to, and those that could not be reached.
+    /// Upstreams it was sent to.
     tried: Vec<Life>,
-    avoided: Vec<Life>,
-    /// It may have run.
-    ran: bool,
-    /// Sends so far.
+    /// Upstreams that could not be connected to.
+    unreachable: Vec<Life>,
+    /// An upstream may have begun to run it.
+    may_have_run: bool,
+    /// Sends so far, without those that could not connect.
     pub sends: u32,
-    connects: u32,
+    failed_connects: u32,
+    /// How long the last send waited for the head of its answer.
     waited: Duration,
     /// When the last answer began.
     begun: Duration,
-    /// An upstream may have crashed while it was there.
+    /// An upstream may have crashed while this request was in flight there.
     crashed: bool,
-    /// It has waited for the crashes at which it was to be judged.
+    /// It has waited for the analysis of crashes at which it was in flight.
     withheld: Cell<bool>,
-    /// The last upstream it was sent to.
+    /// The upstream of the last send.
     pub last: Option<Life>,
 }
 
 impl Exchange {
-    /// Checks `request` against the configuration in force.
+    /// Admits `request`: finds its route, workspace and service, and charges it to
+    /// the workspace's quota.
     pub fn new(site: &Rc<Site>, request: Request) -> Result<Self, Refusal> {
         let Some(catalog) = site.catalog() else {
             return Err(Refusal::not_run("no configuration yet", Duration::from_millis(500)));
@@ -140,10 +144,10 @@
             workspace,
             charge,
             tried: Vec::new(),
-            avoided: Vec::new(),
-            ran: false,
+            unreachable: Vec::new(),
+            may_have_run: false,
             sends: 0,
-            connects: 0,
+            failed_connects: 0,
             waited: Duration::ZERO,
             begun: Duration::ZERO,
             crashed: false,
@@ -162,25 +166,25 @@
         &self.request
     }
 
-    /// Whether a stream that has begun may go on at another upstream.
+    /// Whether a stream that has begun may be resumed at another upstream.
     pub fn may_resume(&self) -> bool {
         self.route.kind == Kind::Stream { resumable: true }
     }
 
-    /// How long the caller still waits.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.expires.saturating_sub(self.site.now())
     }
 
-    /// What is answered when the time is up.
+    /// The refusal at the deadline.
     pub fn expired(&self) -> Refusal {
-        match self.ran {
+        match self.may_have_run {
             true => Refusal::with_status(504, "not answered in time"),
             false => Refusal::not_run("not sent in time", RETRY_MIN),
         }
     }
 
-    /// Its answer came to its end.
+    /// Records that the answer was complete: the request crashes no upstream.
     pub fn ended_well(&self) {
         self.site.poison.ended_well(self.fingerprint, self.site.now());
     }
@@ -190,20 +194,20 @@
         self.waited
     }
 
-    /// An answer that had begun broke off.
+    /// Records that an answer which had begun was cut off.
     pub fn broke(&mut self, opened: &Opened, failure: &Failure) {
         let upstream = &opened.upstream;
         upstream.failed(failure, self.site.now());
         self.site.counters.count("upstream.broken");
         tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, %failure,
-            fingerprint = %self.fingerprint, sends = self.sends, "answer broke off");
+            fingerprint = %self.fingerprint, sends = self.sends, "answer cut off by upstream");
         let ran = self.site.now().saturating_sub(self.begun);
-        self.may_have_crashed(upstream, failure, Some(ran));
+        self.check_for_crash(upstream, failure, Some(ran));
     }
 
-    /// A send to `upstream` failed, after its answer had run for `ran` if that
-    /// had begun.
-    fn may_have_crashed(
+    /// Records that a send to `upstream` failed, `ran` after its answer had begun
+    /// (`None`: it had not), and has the upstream checked for a crash.
+    fn check_for_crash(
         &mut self,
         upstream: &Rc<Upstream>,
         failure: &Failure,
@@ -215,9 +219,9 @@
         self.crashed |= poison::broke(&self.site, upstream, failure, request);
     }
 
-    /// Sends the request, to several upstreams where it may be, until one
-    /// answers. `resumed` is the last event the caller already has of this
-    /// answer.
+    /// Sends the request until an upstream answers, to as many upstreams as its
+    /// route allows. `resumed` is the last event of this answer that the caller
+    /// already has.
     pub async fn open(&mut self, resumed: Option<u64>) -> Result<Answer, Refusal> {
         let mut failed: Option<(Opened, BytesMut)> = None;
         let mut weights_tries = 0;
@@ -225,7 +229,7 @@
             let chosen = match self.next(resumed.is_some()) {
                 Ok(Some(chosen)) => chosen,
                 Ok(None) => {
-                    tokio::time::sleep(HOLD_INTERVAL).await;
+                    tokio::time::sleep(WAIT_INTERVAL).await;
                     continue;
                 }
                 Err(refusal) => {
@@ -238,16 +242,18 @@
                 Sent::Open(opened, flight) => return Ok(Answer::Open(opened, flight)),
                 Sent::Failed(opened, body) => failed = Some((opened, body)),
                 Sent::OtherWeights if weights_tries < MAX_WEIGHTS_TRIES => {
-                    // The same upstream again: this sends to no further one.
+                    // The same upstream may be chosen again: this send does not count
+                    // towards the upstreams tried.
                     weights_tries += 1;
                     self.tried.retain(|life| *life != chosen.upstream.life);
                 }
-                Sent::OtherWeights | Sent::Nothing => {}
+                Sent::OtherWeights | Sent::NoAnswer => {}
             }
         }
     }
 
-    /// The next send, if one is allowed; `None` while the request waits here.
+    /// The next send, if one is allowed; `None` while the request waits at the
+    /// router.
     fn next(&self, resumed: bool) -> Result<Option<Chosen>, Refusal> {
         self.may_send()?;
         if self.site.poison.withholds(self.fingerprint) {
@@ -263,70 +269,78 @@
         }
     }
 
-    /// It waits here until the crashes at which it was are judged.
+    /// Logs and counts, once, that the request waits for the analysis of crashes at
+    /// which it was in flight.
     fn note_withheld(&self) {
         if !self.withheld.replace(true) {
             self.site.counters.count("poison.withheld");
             tracing::info!(target: "poison", id = self.id(), fingerprint = %self.fingerprint,
-                sends = self.sends, "waits until its crashes are judged");
+                sends = self.sends, "request delayed until crashes at which it was in flight are analysed");
         }
     }
 
-    /// Whether one more send is allowed, the budget aside; the first always is.
+    /// Whether one more send is allowed by all but the retry budget: the
+    /// quarantine, the deadline, and the limits on attempts. Only the latter do
+    /// not apply to the first send.
     fn may_send(&self) -> Result<(), Refusal> {
         if let Some(left) = poison::refuses(&self.site, self.fingerprint, self.id()) {
-            return Err(match self.ran {
+            return Err(match self.may_have_run {
                 true => Refusal::with_status(502, QUARANTINED),
                 false => Refusal::quarantined(left),
             });
         }
-        let count = self.tried.len() as u32;
-        match (self.sends, self.ran) {
+        let tried = self.tried.len() as u32;
+        match (self.sends, self.may_have_run) {
             _ if self.left().is_zero() => Err(self.expired()),
-            _ if self.connects >= MAX_CONNECT_TRIES => Err(self.give_up("upstreams unreachable")),
+            _ if self.failed_connects >= MAX_CONNECT_TRIES => {
+                Err(self.give_up("upstreams unreachable"))
+            }
             (0, _) => Ok(()),
             (_, true) if !self.route.kind.repeatable() => Err(self.give_up("may have run")),
-            _ if count >= self.route.attempts => Err(self.give_up("attempts used up")),
+            _ if tried >= self.route.attempts => Err(self.give_up("attempts used up")),
             _ => Ok(()),
         }
     }
 
-    /// Whether a large prompt waits here rather than behind others at the
-    /// engine chosen, where the small ones would wait with it.
+    /// Whether a large prompt waits at the router instead of in the queue of the
+    /// engine chosen, where it would delay the small prompts behind it.
     fn must_wait(&self, chosen: &Chosen) -> bool {
-        let held = self.site.now().saturating_sub(self.request.started);
+        let waited = self.site.now().saturating_sub(self.request.started);
         let limit = self.expires.saturating_sub(self.request.started);
         let prompt = self.request.asked.prompt.as_ref();
-        let waits = self.site.has(Mechanism::Waiting);
-        waits
-            && prompt
-                .is_some_and(|p| place::waits(p.input, chosen.upstream.load().unread, held, limit))
+        let enabled = self.site.has(Mechanism::Waiting);
+        enabled
+            && prompt.is_some_and(|p| {
+                place::waits(p.input, chosen.upstream.load().unread, waited, limit)
+            })
     }
 
+    /// The refusal when the request is not sent any more, for the reason `why`.
     fn give_up(&self, why: &'static str) -> Refusal {
-        match self.ran {
+        match self.may_have_run {
             true => Refusal::with_status(502, why),
             false => Refusal::not_run(why, self.retry_after()),
         }
     }
 
-    /// When a request that finds no room should come back: spread by the id
-    /// of the attempt, so that those refused together do not return together.
+    /// When the caller should retry: varied by up to 200 ms by the id of the
+    /// attempt, so that requests refused together are not retried together.
     fn retry_after(&self) -> Duration {
-        let spread = xxh3_64(self.id().as_bytes()) % 200;
+        let jitter = xxh3_64(self.id().as_bytes()) % 200;
         let base = self.route.target / 4;
-        base + Duration::from_millis(spread)
+        base + Duration::from_millis(jitter)
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        if let Some(charge) = self.charge.take().filter(|_| !self.ran) {
+        if let Some(charge) = self.charge.take().filter(|_| !self.may_have_run) {
             charge.refund(&self.site);
         }
     }
 }
 
+/// `ms` milliseconds; negative values count as zero.
 fn millis(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -1,5 +1,8 @@
-//! Which upstream a request is sent to next: converts this host's state into
-//! the input of the core's decisions, and their result into a send.
+//! Selects the upstream that a request is sent to next.
+//!
+//! Gathers this host's view of the upstreams (load, health, cache contents,
+//! weights version) into the inputs of the core crate's placement functions,
+//! which are free of I/O, and turns the result into the parameters of one send.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,142 +27,170 @@
 use crate::proxy::fleet::Upstream;
 use crate::proxy::refusal::Refusal;
 
-/// Prompt tokens that an engine is taken to read in a millisecond before
-/// anything has been measured.
-const DEFAULT_PACE: f64 = 40.0;
+/// Prefill throughput, in prompt tokens per millisecond, that is assumed for an
+/// engine until it has been measured: 1,000 tokens then take 25 ms.
+const DEFAULT_THROUGHPUT: f64 = 40.0;
 
-/// Time before the end of the bound on weights at which replaced ones are no
-/// longer used: a request may wait that long before it begins.
+/// Replaced weights get no new requests from this time before the operators'
+/// limit on their use: a request sent to an engine may queue there that long
+/// before it begins, and it must begin before the limit.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// Time before the end of that bound at which a request that has not begun
-/// on replaced weights is cancelled.
+/// A request that has not begun on replaced weights is cancelled this time
+/// before that limit. Messages within a region take a few milliseconds, so the
+/// cancellation arrives in time.
 const CANCEL_MARGIN: Duration = Duration::from_millis(250);
 
-/// Share of the engines that small prompts go to first.
-const SMALL_SHARE: f64 = 0.3;
+/// Fraction of the engines that small prompts prefer; large prompts prefer the
+/// others. Either kind is sent outside its partition when that scores better.
+const SMALL_PROMPT_SHARE: f64 = 0.3;
 
-/// Copies between data centres take this many times as long.
-const FAR_FACTOR: f64 = 2.0;
+/// Factor by which a copy between data centres is assumed to take longer than
+/// one within a data centre.
+const CROSS_DC_FACTOR: f64 = 2.0;
 
-/// A cache store's link is shared by all engines: copies are taken to be this
-/// many times as slow as for one engine alone.
-const STORE_FACTOR: f64 = 2.0;
+/// Factor by which a copy from a cache store is assumed to take longer than its
+/// link alone would allow: all engines share that link.
+const SHARED_LINK_FACTOR: f64 = 2.0;
 
-/// An upstream chosen for a send.
+/// The upstream of one send, and the parameters of that send.
 pub struct Chosen {
     /// The upstream.
     pub upstream: Rc<Upstream>,
-    /// Prompt tokens it will have to read.
-    pub unread: u64,
-    /// How long the first byte is expected to take.
-    pub wait: Duration,
-    /// The only weights that may run it.
+    /// Prompt tokens that it must prefill because they are neither cached there
+    /// nor copied.
+    pub prefill: u64,
+    /// Expected time to the first byte of the answer.
+    pub expected_wait: Duration,
+    /// The only weights version that may run the request.
     pub weights: Option<u64>,
-    /// How long it may take to begin before its weights are out of use.
-    pub begin: Duration,
-    /// Where shared parts are fetched from.
+    /// Time within which the request must begin; after it, the weights are past
+    /// the limit on their use.
+    pub begin_within: Duration,
+    /// Address from which the engine copies shared prompt parts.
     pub fetch: Option<SocketAddr>,
-    /// Where shared parts are sent to once they are read.
+    /// Address of the cache store to which the engine saves shared prompt parts
+    /// once it has prefilled them.
     pub save: Option<SocketAddr>,
-    /// The cache that its shared parts are kept in there.
+    /// The cache at the engine that holds the shared parts of this request.
     pub cache: CacheId,
 }
 
-/// Where shared parts can be copied from.
-struct Keeper {
-    /// The engine; `None` for the cache store.
-    life: Option<Life>,
+/// An engine or cache store from which cached prompt parts can be copied.
+struct CopySource {
+    /// The engine; `None` for a cache store.
+    engine: Option<Life>,
     addr: SocketAddr,
     dc: DataCentre,
-    /// The weights they were made by.
+    /// Version of the weights that computed the cached parts.
     weights: u64,
-    held: u64,
+    /// Shared tokens of the prompt that it holds.
+    cached: u64,
     /// Milliseconds to copy one token within a data centre.
     token_ms: f64,
 }
 
-impl Keeper {
-    fn copying(&self, to: &DataCentre) -> Copying {
-        let factor = if self.dc == *to { 1.0 } else { FAR_FACTOR };
-        Copying { held: self.held, token_ms: self.token_ms * factor }
+impl CopySource {
+    /// Size and cost of a copy to an engine in the data centre `to`.
+    fn copy_cost(&self, to: &DataCentre) -> Copying {
+        let factor = if self.dc == *to { 1.0 } else { CROSS_DC_FACTOR };
+        Copying { held: self.cached, token_ms: self.token_ms * factor }
     }
 }
 
-/// The keeper from which the engine `life` in `dc`, on `weights`, copies best.
-fn best_keeper<'a>(
-    keepers: &'a [Keeper],
+/// The best source for the engine `engine` in `dc`, which serves `weights`: the
+/// one with the most cached tokens, and of several the one that copies fastest.
+/// Only parts computed by the same weights can be used.
+fn best_source<'a>(
+    sources: &'a [CopySource],
     weights: u64,
-    life: &Life,
+    engine: &Life,
     dc: &DataCentre,
-) -> Option<&'a Keeper> {
-    let others = keepers.iter().filter(|k| k.weights == weights && k.life.as_ref() != Some(life));
+) -> Option<&'a CopySource> {
+    let others =
+        sources.iter().filter(|s| s.weights == weights && s.engine.as_ref() != Some(engine));
     others.min_by(|a, b| {
-        let (a, b) = (a.copying(dc), b.copying(dc));
+        let (a, b) = (a.copy_cost(dc), b.copy_cost(dc));
         b.held.cmp(&a.held).then(a.token_ms.total_cmp(&b.token_ms))
     })
 }
 
-/// Milliseconds to copy one token of `bytes` over a link.
+/// Milliseconds to copy one token of `bytes` over a link of `link_mbps`
+/// megabits per second.
 fn copy_ms(bytes: f64, link_mbps: f64) -> f64 {
     bytes * 8.0 / (link_mbps.max(1.0) * 1e3)
 }
 
-/// The bound on weights, and how far the engines' are past it.
-struct WeightsBound {
-    named: Named,
-    /// When replaced weights are no longer used.
-    bound: Duration,
-    /// When the store answered without errors: the bound runs in one such
-    /// stretch, since no orders can be given otherwise.
-    soundness: Soundness,
+/// The operators' limit on how long weights may be used after newer ones have
+/// been announced.
+///
+/// Engines cannot be ordered to change weights while the platform's store is
+/// unavailable. So only time without a store outage counts, in one stretch.
+struct ReplacedWeightsLimit {
+    /// The versions announced for the model, and when.
+    announced: Named,
+    /// Time after which replaced weights get no new requests: the operators'
+    /// limit less [`WEIGHTS_MARGIN`].
+    cutoff: Duration,
+    /// When the store answered without errors.
+    availability: Soundness,
     now: Duration,
 }
 
-impl WeightsBound {
-    fn replaced(&self, weights: u64) -> Duration {
-        self.named.replaced(weights, self.now).unwrap_or_default()
+impl ReplacedWeightsLimit {
+    /// How long ago a newer version than `weights` was announced; zero if none was.
+    fn replaced_for(&self, weights: u64) -> Duration {
+        self.announced.replaced(weights, self.now).unwrap_or_default()
     }
 
-    /// The part of the bound that has run in the current stretch.
-    fn run(&self, weights: u64) -> Duration {
-        self.replaced(weights).min(self.soundness.lasts(self.now))
+    /// The part of that time since the last store outage.
+    fn elapsed(&self, weights: u64) -> Duration {
+        self.replaced_for(weights).min(self.availability.lasts(self.now))
     }
 
-    /// Whether `weights` may still be used: their bound has not passed, nor
-    /// had it before the last store errors.
+    /// Whether `weights` may get new requests: their time is not used up now,
+    /// and was not before the last store outage either. Without the second
+    /// check, an outage would bring weights back into use.
     fn allows(&self, weights: u64) -> bool {
-        let past = self.soundness.past(self.replaced(weights), self.now);
-        self.run(weights) < self.bound && past < self.bound + WEIGHTS_MARGIN
+        let before_outage = self.availability.past(self.replaced_for(weights), self.now);
+        self.elapsed(weights) < self.cutoff && before_outage < self.cutoff + WEIGHTS_MARGIN
     }
 
-    /// How long a request on `weights` may take to begin.
-    fn begin(&self, weights: u64) -> Duration {
-        let gone = self.run(weights) + CANCEL_MARGIN;
-        (self.bound + WEIGHTS_MARGIN).saturating_sub(gone)
+    /// How long a request on `weights` may wait before it begins; it is
+    /// cancelled after that.
+    fn begin_within(&self, weights: u64) -> Duration {
+        let used = self.elapsed(weights) + CANCEL_MARGIN;
+        (self.cutoff + WEIGHTS_MARGIN).saturating_sub(used)
     }
 }
 
 impl Exchange {
-    /// The upstream for the next send.
+    /// Selects the upstream for the next send, or says why there is none.
+    /// `resumed`: the caller already has the beginning of the answer.
+    ///
+    /// A request that was in flight when an upstream crashed is first tried on
+    /// the few upstreams that [`poison::apart`] assigns to it, so that it can be
+    /// told from the others that were in flight there.
     pub(super) fn choose(&self, resumed: bool) -> Result<Chosen, Refusal> {
         let all = self.candidates();
-        let apart = (self.crashed || self.site.poison.suspects(self.fingerprint))
-            .then(|| self.choose_among(&self.apart(&all), resumed));
-        match apart {
+        let isolated = (self.crashed || self.site.poison.suspects(self.fingerprint))
+            .then(|| self.choose_among(&self.isolated_candidates(&all), resumed));
+        match isolated {
             Some(Ok(chosen)) => Ok(chosen),
-            // None of those has room.
+            // None of those can take the request: availability comes first.
             Some(Err(_)) | None => self.choose_among(&all, resumed),
         }
     }
 
-    /// Those of `all` that a request which was at a crash is sent to, apart
-    /// from the others that were there.
-    fn apart(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
+    /// Those of `all` assigned to this request as one that was in flight at a
+    /// crash. Other requests of that crash are mostly assigned other upstreams.
+    fn isolated_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
         let places: Vec<u64> = all.iter().map(|u| u.place).collect();
         poison::apart(self.fingerprint, &places).into_iter().map(|i| all[i].clone()).collect()
     }
 
+    /// Selects among `all`: by cached prompt parts and prefill work if the service
+    /// runs engines and the request has a prompt, else by load alone.
     fn choose_among(&self, all: &[Rc<Upstream>], resumed: bool) -> Result<Chosen, Refusal> {
         match (&self.request.asked.prompt, self.catalog.engine(&self.service)) {
             _ if all.is_empty() => Err(self.give_up("no upstream free")),
@@ -168,33 +199,39 @@
         }
     }
 
-    /// Upstreams that may get the request; suspect ones only if all are.
+    /// Upstreams that may get the request: in service, not yet tried, and below
+    /// this host's share of connections. Those that are paused after failures,
+    /// silent, or reported unreachable are included only if there are no others.
     pub(super) fn candidates(&self) -> Vec<Rc<Upstream>> {
         let now = self.site.now();
         let share = self.connection_share();
-        let open = |u: &Rc<Upstream>| {
-            let listed = !u.entry.borrow().leaving && !u.is_closed(now);
-            let fresh = !self.tried.contains(&u.life) && !self.avoided.contains(&u.life);
-            listed && fresh && u.pool.in_use() < share
+        let available = |u: &Rc<Upstream>| {
+            let in_service = !u.entry.borrow().leaving && !u.is_closed(now);
+            let untried = !self.tried.contains(&u.life) && !self.unreachable.contains(&u.life);
+            in_service && untried && u.pool.in_use() < share
         };
-        let well = |u: &&Rc<Upstream>| {
+        let healthy = |u: &&Rc<Upstream>| {
             let health = u.health.borrow();
             !health.is_paused(now) && health.silent(now) < SILENCE && !u.is_doubted(now)
         };
         let mut usable = self.site.fleet.service(&self.service);
-        usable.retain(open);
-        let best: Vec<Rc<Upstream>> = usable.iter().filter(well).cloned().collect();
-        if best.is_empty() { usable } else { best }
+        usable.retain(available);
+        let preferred: Vec<Rc<Upstream>> = usable.iter().filter(healthy).cloned().collect();
+        if preferred.is_empty() { usable } else { preferred }
     }
 
-    /// Connections to one upstream that this host may hold.
+    /// Connections to one upstream that this host may have in use: an equal share
+    /// of the service's limit for all hosts, and at least two, so that each host
+    /// can use each upstream however many hosts there are.
     fn connection_share(&self) -> u32 {
         let all = self.catalog.services.get(&self.service).map_or(u32::MAX, |s| s.connections);
         (all / self.site.peers.count() as u32).max(2)
     }
 
+    /// Selects an upstream by load, latency and failures, if its expected wait is
+    /// shorter than the time that the caller still waits.
     fn choose_plain(&self, candidates: &[Rc<Upstream>]) -> Result<Chosen, Refusal> {
-        let here = &self.site.settings.load().dc;
+        let own_dc = &self.site.settings.load().dc;
         let view = |u: &Rc<Upstream>| {
             let health = u.health.borrow();
             Plain {
@@ -202,17 +239,17 @@
                 slots: u.entry.borrow().slots,
                 latency: health.latency(),
                 failures: health.failures(),
-                far: !u.is_in(here),
+                far: !u.is_in(own_dc),
             }
         };
-        let plains: Vec<Plain> = candidates.iter().map(view).collect();
-        match plain::place(&plains) {
+        let views: Vec<Plain> = candidates.iter().map(view).collect();
+        match plain::place(&views) {
             Some(choice) if millis(choice.wait) < self.left() => Ok(Chosen {
                 upstream: candidates[choice.upstream].clone(),
-                unread: 0,
-                wait: millis(choice.wait),
+                prefill: 0,
+                expected_wait: millis(choice.wait),
                 weights: None,
-                begin: Duration::MAX,
+                begin_within: Duration::MAX,
                 fetch: None,
                 save: None,
                 cache: CacheId::new(""),
@@ -221,6 +258,9 @@
         }
     }
 
+    /// Selects an engine for `prompt`, and where it copies shared prompt parts
+    /// from and saves them to. An answer that has begun is resumed even if the
+    /// expected wait exceeds the time left: its caller has a part of it.
     fn choose_engine(
         &self,
         prompt: &Prompt,
@@ -228,12 +268,12 @@
         all: &[Rc<Upstream>],
         resumed: bool,
     ) -> Result<Chosen, Refusal> {
-        let bound = self.weights_bound(&prompt.model);
+        let limit = self.replaced_weights_limit(&prompt.model);
         let weights = |u: &Upstream| u.weights(&prompt.model).unwrap_or_default();
-        let allowed: Vec<&Rc<Upstream>> = all.iter().filter(|u| bound.allows(weights(u))).collect();
+        let allowed: Vec<&Rc<Upstream>> = all.iter().filter(|u| limit.allows(weights(u))).collect();
         let shared = prompt.shared_parts();
-        let keepers = self.keepers(prompt, shared, spec);
-        let views = self.views(prompt, shared, spec, &allowed, &keepers, &bound);
+        let sources = self.copy_sources(prompt, shared, spec);
+        let views = self.views(prompt, shared, spec, &allowed, &sources, &limit);
         let need = Need {
             input: prompt.input,
             shared: prompt.shared(),
@@ -249,115 +289,129 @@
         }
         let upstream = allowed[choice.engine].clone();
         let weights = weights(&upstream);
-        let keeper = best_keeper(&keepers, weights, &upstream.life, &upstream.entry.borrow().dc);
-        let fetch = match keeper.filter(|_| choice.copies) {
-            Some(keeper) => Some(keeper.addr),
-            None => self.guess(prompt, &views, &choice, &allowed),
+        let source = best_source(&sources, weights, &upstream.life, &upstream.entry.borrow().dc);
+        let fetch = match source.filter(|_| choice.copies) {
+            Some(source) => Some(source.addr),
+            None => self.likely_source(prompt, &views, &choice, &allowed),
         };
-        let stored = |k: &Keeper| k.life.is_none() && k.weights == weights;
-        let kept = keepers.iter().any(|k| stored(k) && k.held + BLOCK_SLACK >= need.shared);
-        let saved = need.shared * 2 >= need.input && !kept;
+        let in_store = |s: &CopySource| s.engine.is_none() && s.weights == weights;
+        let stored = sources.iter().any(|s| in_store(s) && s.cached + BLOCK_SLACK >= need.shared);
+        // Prompts of which less than half is shared are not saved.
+        let should_save = need.shared * 2 >= need.input && !stored;
         Ok(Chosen {
             weights: upstream.weights(&prompt.model),
-            begin: bound.begin(weights),
+            begin_within: limit.begin_within(weights),
             upstream,
-            unread: choice.unread,
-            wait: millis(choice.wait),
+            prefill: choice.unread,
+            expected_wait: millis(choice.wait),
             fetch,
-            save: self.store_of(prompt).filter(|_| saved),
+            save: self.store_of(prompt).filter(|_| should_save),
             cache: self.cache(weights),
         })
     }
 
-    /// Where to look for shared parts that no engine is known to keep: at their
-    /// home, and from there in the cache store that they are saved to.
-    fn guess(
+    /// Where to try to copy shared parts that no engine or store is known to hold,
+    /// if enough of them are missing: from the preferred engine of their prefix
+    /// path, or, if that is the engine chosen, from the cache store to which
+    /// they are saved. Cache updates may be late or lost, so this may succeed.
+    fn likely_source(
         &self,
         prompt: &Prompt,
         views: &[Candidate],
         choice: &Choice,
         engines: &[&Rc<Upstream>],
     ) -> Option<SocketAddr> {
-        let own = prompt.input.saturating_sub(prompt.shared());
-        let missing = choice.unread.saturating_sub(own);
+        let unshared = prompt.input.saturating_sub(prompt.shared());
+        let missing = choice.unread.saturating_sub(unshared);
         if missing < holdings::LARGE || !self.site.has(Mechanism::Copies) {
             return None;
         }
         match place::home(views, views[choice.engine].weights) {
-            Some(home) if home != choice.engine => Some(engines[home].entry.borrow().addr),
+            Some(preferred) if preferred != choice.engine => {
+                Some(engines[preferred].entry.borrow().addr)
+            }
             _ => self.store_of(prompt),
         }
     }
 
-    /// The cache store that the prompt's shared parts are saved to.
+    /// The cache store that the prompt's shared parts are saved to: the first by
+    /// rendezvous hashing of their prefix path.
     fn store_of(&self, prompt: &Prompt) -> Option<SocketAddr> {
         let rank = |s: &&CacheStore| place::rank(prompt.chain(), self.site.stores.at(s.addr).key);
         self.stores().max_by_key(rank).map(|s| s.addr)
     }
 
-    fn weights_bound(&self, model: &str) -> WeightsBound {
+    fn replaced_weights_limit(&self, model: &str) -> ReplacedWeightsLimit {
         let now = self.site.now();
-        WeightsBound {
-            named: self.site.named.borrow().get(model).cloned().unwrap_or_default(),
-            bound: self.site.settings.load().bounds.weights.saturating_sub(WEIGHTS_MARGIN),
-            soundness: self.site.soundness.borrow().clone(),
+        ReplacedWeightsLimit {
+            announced: self.site.named.borrow().get(model).cloned().unwrap_or_default(),
+            cutoff: self.site.settings.load().bounds.weights.saturating_sub(WEIGHTS_MARGIN),
+            availability: self.site.soundness.borrow().clone(),
             now,
         }
     }
 
-    /// The engines as input of the decision.
+    /// The state of each of `engines` as the core's placement function takes it.
+    ///
+    /// With [`Mechanism::Homes`], engines are ranked by the prompt's prefix path,
+    /// so that prompts with equal beginnings prefer the same engine; without it,
+    /// by the request. With many hosts, only a few engines drawn by hashing are
+    /// compared for a request: loads known late would otherwise make all hosts
+    /// send to the same engine.
     fn views(
         &self,
         prompt: &Prompt,
         shared: &[Part],
         spec: &EngineSpec,
         engines: &[&Rc<Upstream>],
-        keepers: &[Keeper],
-        bound: &WeightsBound,
+        sources: &[CopySource],
+        limit: &ReplacedWeightsLimit,
     ) -> Vec<Candidate> {
         let now = self.site.now();
-        let here = &self.site.settings.load().dc;
+        let own_dc = &self.site.settings.load().dc;
         let has = |mechanism| self.site.has(mechanism);
         let request = xxh3_64(self.id().as_bytes());
-        let chain = if has(Mechanism::Homes) { prompt.chain() } else { request };
+        let prefix_path = if has(Mechanism::Homes) { prompt.chain() } else { request };
         let places: Vec<u64> = engines.iter().map(|u| u.place).collect();
-        let small_share = if has(Mechanism::Lanes) { SMALL_SHARE } else { 0.0 };
-        let lanes = place::lane(&places, small_share, prompt.input >= place::LARGE);
+        let small_share = if has(Mechanism::Lanes) { SMALL_PROMPT_SHARE } else { 0.0 };
+        let partition = place::lane(&places, small_share, prompt.input >= place::LARGE);
         let hosts = if has(Mechanism::Drawing) { self.site.peers.count() } else { 1 };
-        let drawn = place::draw(request, &places, &lanes, hosts);
-        let view = |((u, lane), drawn): ((&&Rc<Upstream>, bool), bool)| {
+        let drawn = place::draw(request, &places, &partition, hosts);
+        let view = |((u, in_partition), drawn): ((&&Rc<Upstream>, bool), bool)| {
             let (load, health, entry) = (u.load(), u.health.borrow(), u.entry.borrow());
             let weights = u.weights(&prompt.model).unwrap_or_default();
-            let keeper = best_keeper(keepers, weights, &u.life, &entry.dc);
+            let source = best_source(sources, weights, &u.life, &entry.dc);
             Candidate {
-                rank: place::rank(chain, u.place),
+                rank: place::rank(prefix_path, u.place),
                 unread: load.unread,
                 running: load.running,
                 slots: entry.slots,
                 memory: load.memory,
                 capacity: spec.capacity,
-                pace: health.pace().unwrap_or(DEFAULT_PACE),
+                pace: health.pace().unwrap_or(DEFAULT_THROUGHPUT),
                 held: u.held(self.cache(weights), shared, now),
-                copy: keeper.map(|k| k.copying(&entry.dc)),
+                copy: source.map(|s| s.copy_cost(&entry.dc)),
                 failures: health.failures(),
-                far: entry.dc != *here,
+                far: entry.dc != *own_dc,
                 weights,
-                age: WeightsAge::new(bound.replaced(weights), bound.bound),
-                lane,
+                age: WeightsAge::new(limit.replaced_for(weights), limit.cutoff),
+                lane: in_partition,
                 drawn,
             }
         };
-        engines.iter().zip(lanes).zip(drawn).map(view).collect()
+        engines.iter().zip(partition).zip(drawn).map(view).collect()
     }
 
-    /// The cache stores in use.
+    /// The configured cache stores; none if their use is switched off.
     fn stores(&self) -> impl Iterator<Item = &CacheStore> {
-        let used = self.site.has(Mechanism::Stores);
-        self.catalog.cache_stores().filter(move |_| used)
+        let enabled = self.site.has(Mechanism::Stores);
+        self.catalog.cache_stores().filter(move |_| enabled)
     }
 
-    /// Where shared parts of the prompt can be copied from.
-    fn keepers(&self, prompt: &Prompt, shared: &[Part], spec: &EngineSpec) -> Vec<Keeper> {
+    /// The engines and cache stores known to hold shared parts of the prompt, by
+    /// the cache updates received. They include engines that may not get the
+    /// request themselves.
+    fn copy_sources(&self, prompt: &Prompt, shared: &[Part], spec: &EngineSpec) -> Vec<CopySource> {
         let tokens: u64 = shared.iter().map(|p| p.tokens).sum();
         if tokens == 0 || !self.site.has(Mechanism::Copies) {
             return Vec::new();
@@ -366,30 +420,30 @@
         let token_ms = copy_ms(spec.token_bytes, spec.link_mbps);
         let engines = self.site.fleet.service(&self.service);
         let mut versions: Vec<u64> = Vec::new();
-        let mut keepers = Vec::new();
+        let mut sources = Vec::new();
         for engine in engines {
             let Some(weights) = engine.weights(&prompt.model) else { continue };
             if !versions.contains(&weights) {
                 versions.push(weights);
             }
-            let held = engine.held(self.cache(weights), shared, now);
-            if held > 0 {
+            let cached = engine.held(self.cache(weights), shared, now);
+            if cached > 0 {
                 let (life, entry) = (Some(engine.life.clone()), engine.entry.borrow());
                 let (addr, dc) = (entry.addr, entry.dc.clone());
-                keepers.push(Keeper { life, addr, dc, weights, held, token_ms });
+                sources.push(CopySource { engine: life, addr, dc, weights, cached, token_ms });
             }
         }
         for store in self.stores() {
             let known = self.site.stores.at(store.addr);
-            let token_ms = STORE_FACTOR * copy_ms(spec.token_bytes, store.link_mbps);
+            let token_ms = SHARED_LINK_FACTOR * copy_ms(spec.token_bytes, store.link_mbps);
             for &weights in &versions {
-                let held = known.kept.borrow().held(self.cache(weights), shared);
-                if held > 0 {
+                let cached = known.kept.borrow().held(self.cache(weights), shared);
+                if cached > 0 {
                     let (addr, dc) = (store.addr, store.dc.clone());
-                    keepers.push(Keeper { life: None, addr, dc, weights, held, token_ms });
+                    sources.push(CopySource { engine: None, addr, dc, weights, cached, token_ms });
                 }
             }
         }
-        keepers
+        sources
     }
 }
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -1,5 +1,5 @@
-//! One send of a request, and what its outcome means for the request and for
-//! the upstream's health.
+//! Sends a request to the upstream chosen, and applies the outcome to the state
+//! of the request and to the upstream's health.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -17,21 +17,21 @@
 use crate::proxy::http1::RequestWriter;
 use crate::proxy::reports;
 
-/// How long an upstream that refuses a request gets no others.
+/// How long an upstream that refused a request gets no others from this host.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(120);
 
-/// Timeout of the first byte as a multiple of the expected time, for requests
-/// that may be sent elsewhere.
+/// Time-out of the first byte as a multiple of the expected time, for requests
+/// that may be sent to another upstream.
 const TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Prompt tokens from which a read is a sample of the pace: below, the fixed
-/// time of a step dominates.
-const MIN_PACE_SAMPLE: u64 = 2_000;
+/// Prompt tokens from which the time of a prefill is taken as a sample of the
+/// engine's throughput: below, the fixed time of an engine step dominates.
+const MIN_THROUGHPUT_SAMPLE: u64 = 2_000;
 
 impl Exchange {
-    /// The cache that the request's parts are kept in at engines that serve
-    /// `weights`: no other weights' parts are found there, and none of other
-    /// workspaces if this one is isolated.
+    /// Name of the cache for this request at engines that serve `weights`. Prompt
+    /// parts computed by other weights are never found under it, nor those of
+    /// other workspaces if this workspace is isolated.
     fn salt(&self, weights: u64) -> String {
         match self.workspace.as_ref().filter(|w| w.isolated) {
             Some(workspace) => format!("{weights}/{}", workspace.name),
@@ -39,10 +39,12 @@
         }
     }
 
+    /// Hash of that name.
     pub(super) fn cache(&self, weights: u64) -> CacheId {
         CacheId::new(&self.salt(weights))
     }
 
+    /// The values that the router adds to the request as headers.
     fn envelope(&self, chosen: &Chosen, resumed: Option<u64>) -> Envelope {
         let salt = chosen.weights.map(|version| self.salt(version));
         let priority = self.workspace.as_ref().and_then(|w| w.priority);
@@ -60,6 +62,8 @@
         }
     }
 
+    /// The request as it is sent: the caller's headers that concern more than
+    /// one connection, those of `envelope`, and the body.
     fn encode(&self, envelope: &Envelope) -> Bytes {
         let head = &self.request.head;
         let mut writer = RequestWriter::new(&head.method, &head.target);
@@ -74,39 +78,41 @@
         writer.finish((!bodyless).then_some(&self.request.body))
     }
 
-    /// One send to the upstream chosen.
+    /// Sends the request once, to the upstream chosen, and waits for the head of
+    /// the answer.
     pub(super) async fn send(&mut self, chosen: &Chosen, resumed: Option<u64>) -> Sent {
         let site = self.site.clone();
         let upstream = &chosen.upstream;
         let prompt = self.request.asked.prompt.as_ref();
         let memory = prompt.map_or(0, |p| p.input + p.output);
-        let ahead = upstream.load().unread + chosen.unread;
+        let ahead = upstream.load().unread + chosen.prefill;
         let envelope = self.envelope(chosen, resumed);
         let encoded = self.encode(&envelope);
-        let mut flight = Flight::new(upstream.clone(), chosen.unread, memory, site.now());
+        let mut flight = Flight::new(upstream.clone(), chosen.prefill, memory, site.now());
         tracing::info!(target: "place", id = self.id(), upstream = %upstream.life,
             fingerprint = %self.fingerprint,
             chain = prompt.map(|p| p.chain()), shared = prompt.map(|p| p.shared()), weights = chosen.weights,
             salt = envelope.salt, fetch = envelope.fetch, save = envelope.save,
-            input = prompt.map(|p| p.input), unread = chosen.unread, ahead,
-            running = upstream.load().running, wait_ms = chosen.wait.as_millis() as u64,
-            left_ms = self.left().as_millis() as u64, "placed");
+            input = prompt.map(|p| p.input), unread = chosen.prefill, ahead,
+            running = upstream.load().running, wait_ms = chosen.expected_wait.as_millis() as u64,
+            left_ms = self.left().as_millis() as u64, "upstream chosen");
         self.sends += 1;
         self.last = Some(upstream.life.clone());
         self.tried.push(upstream.life.clone());
         let begun = site.now();
-        let deadline = site.at(begun + self.first_byte_timeout(chosen.wait).min(chosen.begin));
+        let deadline =
+            site.at(begun + self.first_byte_timeout(chosen.expected_wait).min(chosen.begin_within));
         let id = self.request.asked.attempt.clone();
         let method = self.request.head.method.clone();
         // From here on the request may have reached the upstream, also if
         // this is dropped.
-        let ran_before = std::mem::replace(&mut self.ran, true);
+        let may_have_run_before = std::mem::replace(&mut self.may_have_run, true);
         let sent = attempt::send(&site, upstream, &method, id.as_deref(), &encoded);
         let mut sent = pin!(sent);
         let mut result = tokio::time::timeout_at(deadline, &mut sent).await;
-        if result.is_err() && !self.has_elsewhere(chosen, site.now() - begun) {
-            // No other upstream could answer: this one still may.
-            let end = site.at(begun + chosen.begin.min(self.expires.saturating_sub(begun)));
+        if result.is_err() && !self.should_abandon(chosen, site.now() - begun) {
+            // The request cannot go to another upstream: wait on for this one.
+            let end = site.at(begun + chosen.begin_within.min(self.expires.saturating_sub(begun)));
             result = tokio::time::timeout_at(end, &mut sent).await;
         }
         let result = result.unwrap_or_else(|_| Err(Failure::Silent(site.now() - begun)));
@@ -114,29 +120,29 @@
         self.waited = now - begun;
         match result {
             Err(Failure::Unreachable(why)) => {
-                self.ran = ran_before;
+                self.may_have_run = may_have_run_before;
                 self.sends -= 1;
-                self.connects += 1;
+                self.failed_connects += 1;
                 self.tried.pop();
-                self.avoided.push(upstream.life.clone());
+                self.unreachable.push(upstream.life.clone());
                 upstream.doubt(now);
                 site.counters.count("upstream.unreachable");
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, %why,
                     "upstream unreachable");
-                Sent::Nothing
+                Sent::NoAnswer
             }
             Err(failure) => {
                 upstream.failed(&failure, now);
                 site.counters.count("upstream.broken");
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life,
                     %failure, fingerprint = %self.fingerprint, sends = self.sends,
-                    "send brought no answer");
-                self.may_have_crashed(upstream, &failure, None);
-                Sent::Nothing
+                    "no answer from upstream");
+                self.check_for_crash(upstream, &failure, None);
+                Sent::NoAnswer
             }
             Ok(opened) if opened.mark.not_run => {
-                self.ran = ran_before;
-                self.refused(opened, chosen.weights, now).await
+                self.may_have_run = may_have_run_before;
+                self.handle_refusal(opened, chosen.weights, now).await
             }
             Ok(opened) => {
                 self.begun = now;
@@ -144,68 +150,69 @@
                 tracing::info!(target: "attempt", id = self.id(), upstream = %upstream.life,
                     status = opened.head.status, weights = opened.mark.weights,
                     ms = self.waited.as_millis() as u64,
-                    expected_ms = chosen.wait.as_millis() as u64, "answer begun");
+                    expected_ms = chosen.expected_wait.as_millis() as u64, "answer started");
                 if let (Some(version), Some(prompt)) = (opened.mark.weights, prompt) {
                     upstream.serves(&prompt.model, version);
                 }
                 let shared = prompt.map(|p| p.shared_parts()).unwrap_or_default();
-                note_read(&mut flight, chosen, shared, ahead, begun, now);
-                self.answered(opened, flight).await
+                record_prefill(&mut flight, chosen, shared, ahead, begun, now);
+                self.check_answer(opened, flight).await
             }
         }
     }
 
-    /// How long the first byte of an answer is waited for. A request that
-    /// cannot go elsewhere waits until its time is up.
+    /// How long to wait for the first byte of the answer: until the caller's
+    /// deadline if the request cannot go to another upstream.
     fn first_byte_timeout(&self, expected: Duration) -> Duration {
-        let elsewhere =
+        let may_move =
             self.route.kind.repeatable() && (self.tried.len() as u32) < self.route.attempts;
-        if !elsewhere {
+        if !may_move {
             return self.left();
         }
         let expected = expected.mul_f64(TIMEOUT_FACTOR) + self.route.target;
         expected.min(self.left())
     }
 
-    /// Whether a send that has been silent for `silent` may be given up for
-    /// another upstream: its weights are out of use, or there is one, and room
-    /// in the repeat budget.
-    fn has_elsewhere(&self, chosen: &Chosen, silent: Duration) -> bool {
+    /// Whether a send without an answer for `silent` is to be given up: its weights
+    /// are past the limit on their use, or there is another upstream and the
+    /// retry budget allows one more send.
+    fn should_abandon(&self, chosen: &Chosen, silent: Duration) -> bool {
         let others = self.candidates().iter().any(|u| u.life != chosen.upstream.life);
-        silent >= chosen.begin || (others && self.site.might_repeat(&self.service))
+        silent >= chosen.begin_within || (others && self.site.might_repeat(&self.service))
     }
 
-    /// An upstream refused the request, meant for the version `asked` of its
-    /// weights, without running it.
-    async fn refused(&mut self, opened: Opened, asked: Option<u64>, now: Duration) -> Sent {
+    /// Handles an upstream's refusal to run the request, which was sent for the
+    /// version `asked` of its weights.
+    async fn handle_refusal(&mut self, opened: Opened, asked: Option<u64>, now: Duration) -> Sent {
         let upstream = opened.upstream.clone();
-        let (status, told) = (opened.head.status, opened.mark.weights);
-        let other = opened.mark.upstream.as_ref().is_some_and(|id| *id != upstream.life.id);
+        let (status, reported) = (opened.head.status, opened.mark.weights);
+        let other_upstream =
+            opened.mark.upstream.as_ref().is_some_and(|id| *id != upstream.life.id);
         self.site.counters.count("upstream.refused");
         tracing::info!(target: "attempt", id = self.id(), upstream = %upstream.life, status,
             weights = opened.mark.weights, sends = self.sends, "upstream refused, not run");
         match status {
-            421 if other => {
-                // Another upstream has the address: this one is gone.
+            421 if other_upstream => {
+                // Another upstream answers at this address: this one has ended.
                 self.site.fleet.remove(&upstream.life);
-                Sent::Nothing
+                Sent::NoAnswer
             }
             421 => {
                 opened.finish(now);
                 let prompt = self.request.asked.prompt.as_ref();
-                let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::Nothing };
-                match told {
+                let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::NoAnswer };
+                match reported {
                     Some(version) => upstream.states(&prompt.model, version),
                     None => reports::refused(&self.site, &upstream, &prompt.model, asked).await,
                 }
                 match upstream.weights(&prompt.model) {
                     Some(version) if version != asked => Sent::OtherWeights,
-                    _ => Sent::Nothing,
+                    _ => Sent::NoAnswer,
                 }
             }
             400 => match self.collect(opened).await {
                 Some((opened, body)) => Sent::Failed(opened, body),
-                None => Sent::Nothing,
+                None => Sent::NoAnswer,
             },
             _ => {
                 upstream.health.borrow_mut().refuses(now, REFUSAL_PAUSE);
@@ -213,34 +220,37 @@
                     reports::busy(&self.site, &upstream, &prompt.model);
                 }
                 opened.finish(now);
-                Sent::Nothing
+                Sent::NoAnswer
             }
         }
     }
 
-    /// The answer with its whole body, if that comes in time.
+    /// Reads the whole body of the answer; `None` if it does not arrive before
+    /// the caller's deadline.
     async fn collect(&self, mut opened: Opened) -> Option<(Opened, BytesMut)> {
         let deadline = self.site.at(self.expires);
         let body = tokio::time::timeout_at(deadline, opened.collect()).await.ok()?.ok()?;
         Some((opened, body))
     }
 
-    /// An upstream answered.
-    async fn answered(&mut self, opened: Opened, flight: Flight) -> Sent {
+    /// Checks an answer that has begun. Failures are read whole, since another
+    /// upstream may still succeed; a success without the seal that an upstream
+    /// puts on its answers is dropped.
+    async fn check_answer(&mut self, opened: Opened, flight: Flight) -> Sent {
         let upstream = opened.upstream.clone();
         let status = opened.head.status;
         match status {
             200..=299 if !opened.mark.sealed => {
                 upstream.health.borrow_mut().answered(false);
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, status,
-                    "success without a seal dropped");
-                Sent::Nothing
+                    "dropped a successful answer without a seal");
+                Sent::NoAnswer
             }
             500..=599 => {
                 upstream.health.borrow_mut().answered(false);
                 match self.collect(opened).await {
                     Some((opened, body)) if opened.mark.sealed => Sent::Failed(opened, body),
-                    _ => Sent::Nothing,
+                    _ => Sent::NoAnswer,
                 }
             }
             _ => Sent::Open(opened, flight),
@@ -248,8 +258,9 @@
     }
 }
 
-/// Notes that a prompt sent at `begun` was read by `now`.
-fn note_read(
+/// Records that the prompt sent at `begun` has been prefilled by `now`: its shared
+/// parts are cached at the engine, and its time may be a throughput sample.
+fn record_prefill(
     flight: &mut Flight,
     chosen: &Chosen,
     shared: &[Part],
@@ -259,20 +270,22 @@
 ) {
     flight.read();
     chosen.upstream.hold(chosen.cache, shared, now);
-    // Only prompts read alone are samples: others' tokens are not known exactly.
-    if chosen.unread >= MIN_PACE_SAMPLE && ahead == chosen.unread {
+    // Only a prompt that was prefilled alone is a sample: how many tokens of
+    // others were prefilled in that time is not known exactly.
+    if chosen.prefill >= MIN_THROUGHPUT_SAMPLE && ahead == chosen.prefill {
         chosen.upstream.health.borrow_mut().read(ahead, now - begun);
     }
 }
 
-/// What one send brought.
+/// The outcome of one send.
 pub(super) enum Sent {
     /// An answer, with its body still to come.
     Open(Opened, Flight),
-    /// A failure that the upstream answered, in full.
+    /// A failure that the upstream answered, with its whole body.
     Failed(Opened, BytesMut),
-    /// Not run: the upstream serves other weights than was thought.
+    /// Not run: the upstream serves another version of its weights than this host
+    /// had recorded.
     OtherWeights,
-    /// No answer.
-    Nothing,
+    /// No answer that can be passed on.
+    NoAnswer,
 }
