--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! Reading an answer off a connection, whoever gives it.
+//! Reads HTTP answers from a connection, for all kinds of peers.
 
 use std::io;
 
@@ -8,11 +8,11 @@
 use super::conn::Conn;
 use super::http1::{self, BadMessage, Body, Piece, ResponseHead};
 
-/// Longest head of an answer.
+/// Longest head of an answer, in bytes.
 const HEAD_LIMIT: usize = 32 << 10;
 
-/// The status that ends the use of HTTP on a connection.
-const SWITCHING: u16 = 101;
+/// Status 101, after which the connection is no longer used for HTTP.
+const SWITCHING_PROTOCOLS: u16 = 101;
 
 quick_error! {
     /// Why an answer could not be read.
@@ -23,23 +23,27 @@
             from()
             display("{error}")
         }
-        /// What came is no answer.
+        /// The bytes received are not a valid answer.
         Bad(error: BadMessage) {
             from()
             display("{error}")
         }
-        /// The peer closed the connection before it answered.
+        /// The peer closed the connection before the head was complete.
         Closed {
             display("connection closed")
         }
     }
 }
 
-/// Reads the head of the answer; those that only announce one are skipped.
+/// Reads the head of the answer; interim answers (1xx) are skipped.
 pub async fn read_head(conn: &mut Conn) -> Result<ResponseHead, ReadError> {
     loop {
         match http1::response_head(&mut conn.buf, HEAD_LIMIT)? {
-            Some(head) if (100..200).contains(&head.status) && head.status != SWITCHING => continue,
+            Some(head)
+                if (100..200).contains(&head.status) && head.status != SWITCHING_PROTOCOLS =>
+            {
+                continue;
+            }
             Some(head) => return Ok(head),
             None if conn.fill().await? == 0 => return Err(ReadError::Closed),
             None => {}
@@ -47,8 +51,8 @@
     }
 }
 
-/// The next bytes of `body`; `None` at its end. May be dropped while it waits
-/// without losing bytes.
+/// The next bytes of `body`; `None` at its end. Cancel safe: no bytes are lost if
+/// the future is dropped.
 pub async fn next_piece(conn: &mut Conn, body: &mut Body) -> Result<Option<Bytes>, ReadError> {
     loop {
         match body.next(&mut conn.buf, conn.ended)? {
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! Sends a request to one upstream and reads the head of its answer.
 
 use std::io;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use super::http1::{self, BadMessage, Body, ResponseHead};
 use super::site::Site;
 
-/// Longest time to connect. Within a region it takes a few milliseconds; beyond
+/// Time-out of a connect. Within a region it takes a few milliseconds; beyond
 /// this, the upstream is down or its accept queue is full.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Answers to other requests that are skipped before the one that is due.
+/// Answers to other requests that are skipped before the expected one.
 const MAX_STRAY_ANSWERS: usize = 2;
 
-/// Longest body of an answer that is collected before it is passed on.
+/// Longest body, in bytes, of an answer that is read whole before it is forwarded.
 const BODY_LIMIT: usize = 16 << 20;
 
 /// A connection whose answer has begun.
@@ -31,40 +31,40 @@
     pub upstream: Rc<Upstream>,
     /// The head of the answer.
     pub head: ResponseHead,
-    /// What it says of itself.
+    /// What its headers say of the send.
     pub mark: Mark,
-    link: Link,
+    pooled: PooledConn,
     body: Body,
 }
 
-/// A connection in use, counted at its upstream until dropped.
-struct Link {
+/// A connection taken from its upstream's pool, counted as in use until dropped.
+struct PooledConn {
     upstream: Rc<Upstream>,
-    /// Taken when the connection goes back to the pool.
+    /// `None` once the connection has been returned to the pool.
     conn: Option<Conn>,
     /// The whole request has been sent.
     sent: bool,
 }
 
-impl Link {
+impl PooledConn {
     fn new(upstream: Rc<Upstream>, conn: Conn) -> Self {
         upstream.pool.count(1);
         Self { upstream, conn: Some(conn), sent: false }
     }
 
     fn conn(&mut self) -> &mut Conn {
-        self.conn.as_mut().expect("taken only at the end")
+        self.conn.as_mut().expect("returned to the pool only at the end")
     }
 }
 
-impl Drop for Link {
+impl Drop for PooledConn {
     fn drop(&mut self) {
         self.upstream.pool.count(-1);
     }
 }
 
-/// Sends `request`, with the id `attempt` and by `method`, to `upstream` and
-/// reads the head of the answer.
+/// Sends the encoded `request` to `upstream` and reads the head of the answer.
+/// `method` is the request's method, `attempt` the id of the caller's attempt.
 pub async fn send(
     site: &Site,
     upstream: &Rc<Upstream>,
@@ -77,32 +77,33 @@
         None => {
             let addr = upstream.entry.borrow().addr;
             site.counters.count("upstream.connects");
-            Conn::connect(addr, CONNECT).await.map_err(Failure::Unreachable)?
+            Conn::connect(addr, CONNECT_TIMEOUT).await.map_err(Failure::Unreachable)?
         }
     };
-    let mut link = Link::new(upstream.clone(), conn);
-    link.sent = link.conn().send(request).await.map_err(|e| lost("send", e))?;
+    let mut pooled = PooledConn::new(upstream.clone(), conn);
+    pooled.sent = pooled.conn().send(request).await.map_err(|e| io_failure("send", e))?;
     for _ in 0..=MAX_STRAY_ANSWERS {
-        let head =
-            answer::read_head(link.conn()).await.map_err(|e| Failure::from(("answer head", e)))?;
+        let head = answer::read_head(pooled.conn())
+            .await
+            .map_err(|e| Failure::from(("answer head", e)))?;
         let framing = http1::response_framing(method, &head)
             .map_err(|e| Failure::Broken("answer head", e.to_string()))?;
         let mark = headers::mark(head.status, |name| head.headers.get(name));
         let mut body = Body::from(framing);
         let stray = match (&mark.attempt, attempt) {
-            (Some(theirs), Some(ours)) => theirs != ours,
+            (Some(answered), Some(sent)) => answered != sent,
             _ => false,
         };
         if !stray {
-            return Ok(Opened { upstream: upstream.clone(), head, mark, link, body });
+            return Ok(Opened { upstream: upstream.clone(), head, mark, pooled, body });
         }
         site.counters.count("upstream.stray_answers");
         tracing::warn!(target: "attempt", upstream = %upstream.life, ours = attempt,
-            theirs = mark.attempt, "answer to another request skipped");
+            theirs = mark.attempt, "skipped an answer to another request");
         if framing == http1::Framing::Close {
             break;
         }
-        while let Some(_data) = next_piece(link.conn(), &mut body).await? {}
+        while let Some(_data) = next_piece(pooled.conn(), &mut body).await? {}
     }
     Err(Failure::Broken("answer head", "answers another request".into()))
 }
@@ -110,7 +111,7 @@
 impl From<(&'static str, ReadError)> for Failure {
     fn from((step, error): (&'static str, ReadError)) -> Self {
         match error {
-            ReadError::Io(error) => lost(step, error),
+            ReadError::Io(error) => io_failure(step, error),
             ended @ (ReadError::Closed | ReadError::Bad(BadMessage::CutOff)) => {
                 Self::Closed(step, ended.to_string())
             }
@@ -119,9 +120,9 @@
     }
 }
 
-/// A connection that timed out was lost without a close or reset: the peer or
-/// the network to it is gone. Any other error was caused by the peer.
-fn lost(step: &'static str, error: io::Error) -> Failure {
+/// Classifies an I/O error. After a time-out, the peer or the network to it is
+/// gone without a close or reset; any other error was caused by the peer.
+fn io_failure(step: &'static str, error: io::Error) -> Failure {
     match error.kind() {
         io::ErrorKind::TimedOut | io::ErrorKind::HostUnreachable => Failure::Lost(step, error),
         _ => Failure::Closed(step, error.to_string()),
@@ -133,37 +134,38 @@
 }
 
 impl Opened {
-    /// The next bytes of the body; `None` at its end. May be dropped while
-    /// it waits without losing bytes.
+    /// The next bytes of the body; `None` at its end. Cancel safe: no bytes are
+    /// lost if the future is dropped.
     pub async fn next_data(&mut self) -> Result<Option<Bytes>, Failure> {
-        next_piece(self.link.conn(), &mut self.body).await
+        next_piece(self.pooled.conn(), &mut self.body).await
     }
 
-    /// The whole body.
+    /// Reads the whole body.
     pub async fn collect(&mut self) -> Result<BytesMut, Failure> {
-        let mut whole = BytesMut::new();
+        let mut collected = BytesMut::new();
         while let Some(data) = self.next_data().await? {
-            whole.extend_from_slice(&data);
-            if whole.len() > BODY_LIMIT {
+            collected.extend_from_slice(&data);
+            if collected.len() > BODY_LIMIT {
                 return Err(Failure::Broken("answer body", "too long to be collected".into()));
             }
         }
-        Ok(whole)
+        Ok(collected)
     }
 
-    /// Keeps the connection for other requests if both sides may.
+    /// Returns the connection to the pool if it can serve other requests: the
+    /// request and the answer are complete, and the upstream keeps it open.
     pub fn finish(mut self, now: Duration) {
         let head = &self.head;
-        let stated = head.headers.get("keep-alive").and_then(keep_alive);
-        let keep = self.link.sent && self.body.is_done() && !head.headers.closes(head.minor);
-        let Some(conn) = self.link.conn.take() else { return };
+        let idle_timeout = head.headers.get("keep-alive").and_then(keep_alive);
+        let keep = self.pooled.sent && self.body.is_done() && !head.headers.closes(head.minor);
+        let Some(conn) = self.pooled.conn.take() else { return };
         if keep && conn.buf.is_empty() && !conn.ended {
-            self.upstream.pool.put(conn, stated, now);
+            self.upstream.pool.put(conn, idle_timeout, now);
         }
     }
 }
 
-/// The timeout in a `Keep-Alive` header.
+/// The time-out in a `Keep-Alive` header.
 fn keep_alive(text: &str) -> Option<Duration> {
     let seconds = text.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -1,8 +1,9 @@
-//! Reading what engines and cache stores keep from their events.
+//! Follows the cache events of engines and cache stores, to keep an index of the
+//! prompt parts that each holds.
 //!
-//! An engine lets only so many callers wait for events at once. Where there
-//! are more hosts than that, the two that rank first for an engine by hashing
-//! read its events and pass on those of large parts to all others.
+//! An engine lets only a limited number of callers wait for events at once. Where
+//! there are more hosts than that, the first two hosts by rendezvous hashing for an
+//! engine read its events, and forward those on large parts to all other hosts.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 use super::storeclient::Caller;
 use super::stores::Store;
 
-/// Time between checks for engines that are not followed yet.
+/// Time between checks for engines and stores that are not followed yet.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Time between the first reads of two engines. Each returns all events that
@@ -28,41 +29,42 @@
 /// just started are waiting.
 const STAGGER: Duration = Duration::from_millis(60);
 
-/// Time for an answer beyond the wait asked for.
-const ANSWER: Duration = Duration::from_millis(700);
+/// Time-out of an answer, in addition to the time that the call asks to wait.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Pause after a failed call.
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Listeners of an engine that are reserved for hosts that restart.
+/// Listeners of an engine that are left free for hosts that restart.
 const RESERVED_LISTENERS: usize = 2;
 
-/// Hosts that read the events of one cache where not all can: one may be down.
+/// Hosts that read the events of one cache where not all can: one of the two may
+/// be down.
 const READERS: usize = 2;
 
-/// Where a cache's events come from, and who reads them.
+/// A cache whose events are read: that of an engine, or a cache store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Source {
     /// The cache's key in messages between hosts.
     key: u64,
     addr: SocketAddr,
-    /// Hosts that may read at once.
-    places: usize,
+    /// Hosts that may read its events at once.
+    max_readers: usize,
 }
 
 impl Source {
-    /// Whether hosts depend on each other for these events.
-    fn is_shared(&self, site: &Site) -> bool {
-        site.peers.count() > self.places
+    /// Whether not all hosts can read these events, so that readers forward them.
+    fn is_forwarded(&self, site: &Site) -> bool {
+        site.peers.count() > self.max_readers
     }
 
-    /// Whether this host is to read them.
-    fn is_due(&self, site: &Site) -> bool {
-        !self.is_shared(site) || site.peers.ranks_within(self.key, READERS.min(self.places))
+    /// Whether this host is to read these events.
+    fn is_reader(&self, site: &Site) -> bool {
+        !self.is_forwarded(site) || site.peers.ranks_within(self.key, READERS.min(self.max_readers))
     }
 }
 
-/// Follows all engines and the stores of prompt caches.
+/// Follows the events of all engines and cache stores that this host is to read.
 pub async fn run(site: Rc<Site>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -75,9 +77,9 @@
         for (service, listeners) in engines {
             for upstream in site.fleet.service(&service) {
                 let addr = upstream.entry.borrow().addr;
-                let places = listeners.saturating_sub(RESERVED_LISTENERS);
-                let source = Source { key: upstream.key, addr, places };
-                if source.is_due(&site) && !upstream.followed.replace(true) {
+                let max_readers = listeners.saturating_sub(RESERVED_LISTENERS);
+                let source = Source { key: upstream.key, addr, max_readers };
+                if source.is_reader(&site) && !upstream.followed.replace(true) {
                     ntex::rt::spawn(follow_engine(site.clone(), upstream, source));
                     tokio::time::sleep(STAGGER).await;
                 }
@@ -85,16 +87,17 @@
         }
         for listed in catalog.cache_stores() {
             let store = site.stores.at(listed.addr);
-            let places = (listed.listeners as usize).saturating_sub(RESERVED_LISTENERS);
-            let source = Source { key: store.key, addr: store.addr, places };
-            if source.is_due(&site) && !store.followed.replace(true) {
+            let max_readers = (listed.listeners as usize).saturating_sub(RESERVED_LISTENERS);
+            let source = Source { key: store.key, addr: store.addr, max_readers };
+            if source.is_reader(&site) && !store.followed.replace(true) {
                 ntex::rt::spawn(follow_store(site.clone(), store, source));
             }
         }
     }
 }
 
-/// Applies events that another host read.
+/// Applies cache updates that another host has forwarded, except for caches whose
+/// events this host reads itself.
 pub fn hear(site: &Site, news: &[News]) {
     let engines: HashMap<u64, Rc<Upstream>> = match news.is_empty() {
         true => return,
@@ -114,26 +117,28 @@
     }
 }
 
-/// Passes on the events of `page`, not yet applied, that concern large parts.
-fn pass_on(site: &Site, source: Source, holdings: &Holdings, page: &Page) {
-    if source.is_shared(site) {
+/// Queues the events of `page` on large parts for the other hosts. `page` must not
+/// have been applied to `holdings` yet.
+fn forward(site: &Site, source: Source, holdings: &Holdings, page: &Page) {
+    if source.is_forwarded(site) {
         site.news.borrow_mut().add(source.key, page.epoch, &holdings.large(page), site.now());
     }
 }
 
+/// Reads the events of an engine until it ends or another host is to read them.
 async fn follow_engine(site: Rc<Site>, upstream: Rc<Upstream>, source: Source) {
     let addr = source.addr;
     let mut caller = Caller::new(addr);
-    while site.fleet.get(&upstream.life).is_some() && source.is_due(&site) {
+    while site.fleet.get(&upstream.life).is_some() && source.is_reader(&site) {
         let since = upstream.kept.borrow().next();
         match read(&mut caller, since).await {
             Ok(page) => {
-                pass_on(&site, source, &upstream.kept.borrow(), &page);
+                forward(&site, source, &upstream.kept.borrow(), &page);
                 upstream.kept.borrow_mut().apply(&page);
             }
             Err(why) => {
-                tracing::debug!(target: "cachefeed", upstream = %upstream.life, why, "events not read");
-                tokio::time::sleep(PAUSE).await;
+                tracing::debug!(target: "cachefeed", upstream = %upstream.life, why, "failed to read cache events");
+                tokio::time::sleep(RETRY_PAUSE).await;
                 caller = Caller::new(addr);
             }
         }
@@ -141,30 +146,32 @@
     upstream.followed.set(false);
 }
 
+/// Reads the events of a cache store until another host is to read them. A store
+/// that cannot be reached counts as empty, at all hosts.
 async fn follow_store(site: Rc<Site>, store: Rc<Store>, source: Source) {
     let addr = source.addr;
     let mut caller = Caller::new(addr);
     let mut down = false;
-    while source.is_due(&site) {
+    while source.is_reader(&site) {
         let since = store.kept.borrow().next();
         match read(&mut caller, since).await {
             Ok(page) => {
                 if std::mem::take(&mut down) {
-                    tracing::info!(target: "cachefeed", %addr, "cache store regained");
+                    tracing::info!(target: "cachefeed", %addr, "cache store reachable again");
                 }
-                pass_on(&site, source, &store.kept.borrow(), &page);
+                forward(&site, source, &store.kept.borrow(), &page);
                 if store.kept.borrow_mut().apply(&page) {
-                    tracing::info!(target: "cachefeed", %addr, "cache store returned empty");
+                    tracing::info!(target: "cachefeed", %addr, "cache store has lost its contents");
                 }
             }
             Err(why) => {
-                // The contents of a store that cannot be reached are of no use.
+                // The contents cannot be used while the store is unreachable.
                 store.kept.borrow_mut().clear();
                 if !std::mem::replace(&mut down, true) {
                     site.news.borrow_mut().add_loss(source.key, site.now());
-                    tracing::warn!(target: "cachefeed", %addr, why, "cache store lost");
+                    tracing::warn!(target: "cachefeed", %addr, why, "cache store unreachable");
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 caller = Caller::new(addr);
             }
         }
@@ -172,9 +179,10 @@
     store.followed.set(false);
 }
 
+/// Reads the events from `since` on; waits for new ones if there are none.
 async fn read(caller: &mut Caller, since: u64) -> Result<Page, String> {
     let wait = EVENTS_WAIT_MS.to_string();
-    let limit = Duration::from_millis(EVENTS_WAIT_MS) + ANSWER;
+    let limit = Duration::from_millis(EVENTS_WAIT_MS) + ANSWER_TIMEOUT;
     let call = engine::events(since);
     let reply =
         caller.call(&call, &[(WAIT_HEADER, &wait)], limit).await.map_err(|e| e.to_string())?;
--- a/crates/router/src/proxy/callers.rs
+++ b/crates/router/src/proxy/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: requests read, answers written, one after another.
+//! Callers' connections: reads requests and writes answers, one after another.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use super::request::{Exchange, Request};
 use super::site::Site;
 
-/// How long a connection with unread bytes is kept after its last answer.
+/// How long a connection with unread bytes is kept open after its last answer.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Time for the body of a request to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Time-out for receiving the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause after an accept that failed for lack of descriptors.
+/// Pause after a failed accept, most likely for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Accepts callers until the process stops.
@@ -44,14 +44,18 @@
     }
 }
 
-/// How a connection goes on after a request.
+/// What to do with a connection after a request.
 enum Next {
+    /// Read the next request.
     Keep,
     Close,
+    /// Close the write side, and discard what the caller still sends.
     Linger,
+    /// Reset, so that the caller does not take a partial answer for complete.
     Reset,
 }
 
+/// Serves the requests of one connection until it closes.
 async fn connection(site: Rc<Site>, mut conn: Conn) {
     loop {
         let limits = site.catalog.load().as_ref().map_or_else(Limits::default, |c| c.limits);
@@ -59,7 +63,7 @@
             return;
         }
         site.handled.set(site.handled.get() + 1);
-        let next = one(&site, &mut conn, limits).await;
+        let next = serve_request(&site, &mut conn, limits).await;
         site.handled.set(site.handled.get() - 1);
         match next {
             Next::Keep => {}
@@ -70,6 +74,7 @@
     }
 }
 
+/// Waits up to `limit` for the first bytes of a request; false if there are none.
 async fn wait_for_bytes(conn: &mut Conn, limit: Duration) -> bool {
     match conn.buf.is_empty() {
         true => matches!(tokio::time::timeout(limit, conn.fill()).await, Ok(Ok(n)) if n > 0),
@@ -78,36 +83,37 @@
 }
 
 /// Reads one request and answers it.
-async fn one(site: &Rc<Site>, conn: &mut Conn, limits: Limits) -> Next {
+async fn serve_request(site: &Rc<Site>, conn: &mut Conn, limits: Limits) -> Next {
     let started = site.now();
     let read = tokio::time::timeout(limits.head_time, read_head(conn, limits.head));
     let head = match read.await {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return Next::Close,
         Ok(Err(BadMessage::TooLong(_))) => {
-            return refuse_bytes(site, conn, 431, "head too long").await;
+            return refuse_malformed(site, conn, 431, "head too long").await;
         }
-        Ok(Err(_)) => return refuse_bytes(site, conn, 400, "malformed request").await,
-        Err(_) => return refuse_bytes(site, conn, 408, "head not in time").await,
+        Ok(Err(_)) => return refuse_malformed(site, conn, 400, "malformed request").await,
+        Err(_) => return refuse_malformed(site, conn, 408, "head not in time").await,
     };
     let framing = match check(&head) {
         Ok(framing) => framing,
-        Err(why) => return refuse_bytes(site, conn, 400, why).await,
+        Err(why) => return refuse_malformed(site, conn, 400, why).await,
     };
     if matches!(framing, Framing::Length(length) if length > limits.body as u64) {
-        return refuse_bytes(site, conn, 413, "body too long").await;
+        return refuse_malformed(site, conn, 413, "body too long").await;
     }
     let expects =
         head.headers.get("expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"));
     if expects && conn.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
         return Next::Close;
     }
-    let body = match tokio::time::timeout(BODY_TIME, read_body(conn, framing, limits.body)).await {
+    let body = match tokio::time::timeout(BODY_TIMEOUT, read_body(conn, framing, limits.body)).await
+    {
         Ok(Ok(Some(body))) => body,
-        Ok(Ok(None)) => return refuse_bytes(site, conn, 413, "body too long").await,
+        Ok(Ok(None)) => return refuse_malformed(site, conn, 413, "body too long").await,
         Ok(Err(BadMessage::CutOff)) => return Next::Close,
-        Ok(Err(_)) => return refuse_bytes(site, conn, 400, "malformed body").await,
-        Err(_) => return refuse_bytes(site, conn, 408, "body not in time").await,
+        Ok(Err(_)) => return refuse_malformed(site, conn, 400, "malformed body").await,
+        Err(_) => return refuse_malformed(site, conn, 408, "body not in time").await,
     };
     let asked = headers::asked(|name| head.headers.get(name));
     let last = head.headers.closes(head.minor) || site.stopping.get().is_some();
@@ -115,6 +121,8 @@
     answer(site, conn, request, last).await
 }
 
+/// Sends the request to an upstream and the answer to the caller; `last` when the
+/// connection closes after this answer.
 async fn answer(site: &Rc<Site>, conn: &mut Conn, request: Request, last: bool) -> Next {
     let started = request.started;
     let id = request.asked.attempt.clone().unwrap_or_default();
@@ -150,26 +158,26 @@
     match outcome {
         Outcome::Answered(status) => {
             site.counters.count("request.answered");
-            tracing::info!(target: "request", id, route, upstream, sends, config, status, ms, "answered");
+            tracing::info!(target: "request", id, route, upstream, sends, config, status, ms, "request answered");
         }
         Outcome::Refused(Refusal { status, retry, why, .. }) => {
             site.counters.count("request.refused");
             let retry_ms = retry.map(|r| r.as_millis() as u64);
             tracing::info!(target: "request", id, route, upstream, sends, config, status, ms,
-                retry_ms, why, "refused");
+                retry_ms, why, "request refused");
         }
         Outcome::Left => {
             site.counters.count("request.left");
-            tracing::info!(target: "request", id, route, upstream, sends, config, ms, "caller left");
+            tracing::info!(target: "request", id, route, upstream, sends, config, ms, "caller closed connection before the answer");
         }
         Outcome::Cut(why) => {
             site.counters.count("request.cut");
-            tracing::warn!(target: "request", id, route, upstream, sends, config, ms, why, "answer cut");
+            tracing::warn!(target: "request", id, route, upstream, sends, config, ms, why, "answer cut off");
         }
     }
 }
 
-/// Encodes an answer of the router's own.
+/// Encodes an answer of the router itself.
 pub fn encode(refusal: &Refusal, last: bool) -> BytesMut {
     let mut writer = ResponseWriter::new(refusal.status);
     writer.header("content-type", b"application/json");
@@ -190,10 +198,10 @@
     writer.finish(body.to_string().as_bytes())
 }
 
-/// Answers bytes that are no request, and ends the connection.
-async fn refuse_bytes(site: &Site, conn: &mut Conn, status: u16, why: &'static str) -> Next {
+/// Answers bytes that are not a valid request, and closes the connection.
+async fn refuse_malformed(site: &Site, conn: &mut Conn, status: u16, why: &'static str) -> Next {
     site.counters.count("request.malformed");
-    tracing::info!(target: "request", status, why, "refused unread");
+    tracing::info!(target: "request", status, why, "malformed or oversized request refused");
     let refusal = Refusal::with_status(status, why);
     match conn.write(&encode(&refusal, true)).await {
         Ok(()) => Next::Linger,
@@ -201,6 +209,7 @@
     }
 }
 
+/// Reads the head of a request; `None` when the caller has closed the connection.
 async fn read_head(conn: &mut Conn, limit: usize) -> Result<Option<RequestHead>, BadMessage> {
     loop {
         if let Some(head) = http1::request_head(&mut conn.buf, limit)? {
@@ -213,7 +222,7 @@
     }
 }
 
-/// Checks what a request must have, and says how its body ends.
+/// Checks the head of a request; returns how its body is delimited.
 fn check(head: &RequestHead) -> Result<Framing, &'static str> {
     let hosts = head.headers.all("host").count();
     match http1::request_framing(head) {
--- a/crates/router/src/proxy/conn.rs
+++ b/crates/router/src/proxy/conn.rs
@@ -1,4 +1,4 @@
-//! One TCP connection with what has been read from it and not yet used.
+//! A TCP connection with its read buffer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,36 +8,37 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Bytes read at once.
+/// Space in the buffer, in bytes, before each read.
 const READ_SIZE: usize = 16 << 10;
 
 /// Idle time before a TCP keep-alive probe, and the time between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered probes after which a connection is closed.
+/// Unanswered probes after which the kernel closes a connection.
 const MAX_PROBES: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged.
+/// How long sent bytes may stay unacknowledged before the kernel closes the
+/// connection.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A connection and the bytes read ahead of it.
+/// A connection and the bytes read from it and not yet used.
 #[derive(Debug)]
 pub struct Conn {
     stream: TcpStream,
     /// Bytes read and not yet used.
     pub buf: BytesMut,
-    /// The peer has closed its side in order.
+    /// The peer has closed its side without a reset.
     pub ended: bool,
 }
 
 impl Conn {
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
-        tune(&stream);
+        set_options(&stream);
         Self { stream, buf: BytesMut::new(), ended: false }
     }
 
-    /// Connects to `addr`, within `limit`.
+    /// Connects to `addr` within `limit`; a time-out is `TimedOut`.
     pub async fn connect(addr: SocketAddr, limit: Duration) -> io::Result<Self> {
         let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         match tokio::time::timeout(limit, socket.connect(addr)).await {
@@ -59,9 +60,9 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Writes `bytes` until all are written or the peer answers or closes
-    /// before; whether all were written. An upstream may answer a long
-    /// request early, and then reads no further.
+    /// Writes `bytes` until all are written, or the peer answers or closes first;
+    /// true if all were written. An upstream may answer a long request before it
+    /// has read all of it, and then reads no further.
     pub async fn send(&mut self, mut bytes: &[u8]) -> io::Result<bool> {
         while !bytes.is_empty() {
             match self.stream.try_write(bytes) {
@@ -93,8 +94,9 @@
         Ok(true)
     }
 
-    /// Waits until the peer has closed the connection. Bytes it sends ahead meanwhile are
-    /// kept, up to `limit`; beyond that they stay unread.
+    /// Waits until the peer has closed the connection. Bytes that it sends
+    /// meanwhile are buffered, up to `limit`; then reading stops, and a close is no
+    /// longer noticed.
     pub async fn gone(&mut self, limit: usize) {
         loop {
             if self.buf.len() >= limit {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether the idle connection is still open with nothing to read.
+    /// Whether the idle connection is still open, with no unexpected bytes to read.
     pub fn is_quiet(&mut self) -> bool {
         let mut probe = [0u8; 1];
         self.buf.is_empty()
@@ -115,8 +117,9 @@
             && matches!(self.stream.try_read(&mut probe), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Closes the write side, then reads what the peer still sends for up to
-    /// `limit`, so that unread bytes do not reset what was written last.
+    /// Closes the write side, then discards what the peer still sends for up to
+    /// `limit`. Closing with unread bytes would send a reset, and the peer could
+    /// lose the end of the answer.
     pub async fn linger(mut self, limit: Duration) {
         if self.stream.shutdown().await.is_err() {
             return;
@@ -132,13 +135,14 @@
         let _ = tokio::time::timeout(limit, drain).await;
     }
 
-    /// Ends the connection so that the peer sees a reset rather than an end.
+    /// Closes the connection with a reset, so that the peer does not take what it
+    /// has received for complete.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-fn tune(stream: &TcpStream) {
+fn set_options(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let keepalive = socket2::TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
@@ -151,7 +155,7 @@
     ];
     for (option, result) in set {
         if let Err(error) = result {
-            tracing::debug!(target: "conn", option, %error, "socket option not set");
+            tracing::debug!(target: "conn", option, %error, "failed to set socket option");
         }
     }
 }
--- a/crates/router/src/proxy/counters.rs
+++ b/crates/router/src/proxy/counters.rs
@@ -1,7 +1,7 @@
-//! Counters and histograms, given out as text.
+//! Counters and histograms, exported as text.
 //!
-//! `cadence` names and types them; its sink here keeps sums in memory, which
-//! the metrics address gives out, instead of sending lines to a collector.
+//! Counters use a `cadence` client. Its sink here keeps sums in memory for the
+//! metrics endpoint instead of sending statsd lines to a collector.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,13 +12,14 @@
 use cadence::{CountedExt, MetricSink, StatsdClient};
 use hdrhistogram::Histogram;
 
-/// Longest time that histograms tell apart, in milliseconds.
+/// Largest value of the histograms, in milliseconds; longer times count as this.
 const MAX_MS: u64 = 60_000;
 
-/// The histogram of requests, from the first byte to the end of the answer.
+/// Name of the histogram of request times, from the first byte of the request to
+/// the end of the answer.
 pub const REQUEST: &str = "request";
 
-/// Sums the counters that pass through a statsd client.
+/// A statsd sink that sums up the counters.
 #[derive(Debug, Clone, Default)]
 struct Sums(Arc<Mutex<BTreeMap<String, i64>>>);
 
@@ -46,19 +47,19 @@
 }
 
 impl Counters {
-    /// Nothing counted yet.
+    /// Counters at zero.
     pub fn new() -> Self {
         let sums = Sums::default();
         let client = StatsdClient::from_sink("marjoram", sums.clone());
         Self { client, sums, times: Mutex::default() }
     }
 
-    /// Counts one `name`.
+    /// Adds one to the counter `name`.
     pub fn count(&self, name: &str) {
         let _ = self.client.incr(name);
     }
 
-    /// Requests that have ended.
+    /// Number of requests that have ended.
     pub fn requests(&self) -> u64 {
         self.times.lock().ok().and_then(|t| Some(t.get(REQUEST)?.len())).unwrap_or_default()
     }
@@ -71,7 +72,7 @@
         times.entry(name).or_insert_with(new).saturating_record(ms);
     }
 
-    /// All of them as text: a name and a value a line.
+    /// All counters and histograms as text, with a name and a value on each line.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if let Ok(sums) = self.sums.0.lock() {
--- a/crates/router/src/proxy/entry.rs
+++ b/crates/router/src/proxy/entry.rs
@@ -1,6 +1,6 @@
-//! Questions that callers and the platform put to a host: which hosts to
-//! connect to, and whether this one is ready; and those of operators:
-//! metrics and the state of the process.
+//! The HTTP endpoints of a host itself: for callers and the platform, the list of
+//! hosts to connect to and whether this one is ready; for operators, metrics and a
+//! dump of the process's state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,14 +17,14 @@
 use super::site::Site;
 use crate::clock;
 
-/// Longest head of a question.
+/// Longest head of a request, in bytes.
 const HEAD_LIMIT: usize = 8 << 10;
 
-/// How long a connection may stay idle.
-const IDLE: Duration = Duration::from_secs(15);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long callers may keep an answer: short, since hosts come and go, and
-/// some keep it three times as long.
+/// How long callers may use a list of hosts: short, since hosts come and go, and
+/// some callers use it three times as long.
 const ANSWER_TTL: Duration = Duration::from_secs(2);
 
 /// Path of the metrics.
@@ -33,7 +33,7 @@
 /// Path of the state dump.
 const STATE: &str = "/debug/state";
 
-/// Answers questions on `listener` until the process stops.
+/// Answers requests on `listener` until the process stops.
 pub async fn serve(site: Rc<Site>, listener: TcpListener, dropped: ErrorCounter) {
     loop {
         let accepted = tokio::select! {
@@ -46,11 +46,12 @@
     }
 }
 
+/// Answers the requests of one connection.
 async fn connection(site: Rc<Site>, mut conn: Conn, dropped: ErrorCounter) {
     loop {
         let head = match http1::request_head(&mut conn.buf, HEAD_LIMIT) {
             Ok(Some(head)) => head,
-            Ok(None) => match tokio::time::timeout(IDLE, conn.fill()).await {
+            Ok(None) => match tokio::time::timeout(IDLE_TIMEOUT, conn.fill()).await {
                 Ok(Ok(read)) if read > 0 => continue,
                 _ => return,
             },
@@ -83,6 +84,7 @@
     }
 }
 
+/// Number of upstreams that are paused after failures.
 fn paused(site: &Site) -> u64 {
     let now = site.now();
     site.fleet.all().iter().filter(|u| u.health.borrow().is_paused(now)).count() as u64
@@ -118,6 +120,8 @@
     text + &quota::metrics(site)
 }
 
+/// The addresses of the hosts that accept callers, this one included if it is
+/// ready.
 fn addresses(site: &Site) -> bytes::BytesMut {
     let mut known: Vec<SocketAddr> = site.peers.open();
     let settings = site.settings.load();
@@ -134,7 +138,7 @@
     writer.finish(&entry::addresses(&known, ttl))
 }
 
-/// Requests that no host sends, or did not until lately.
+/// The quarantine: entries in force, and those that expired recently.
 fn quarantine(site: &Site) -> Vec<serde_json::Value> {
     let wall = clock::wall();
     let held = site.poison.entries().into_iter().map(|v| {
--- a/crates/router/src/proxy/failure.rs
+++ b/crates/router/src/proxy/failure.rs
@@ -1,4 +1,4 @@
-//! Why a send to an upstream brought no answer.
+//! Why a send to an upstream failed.
 
 use std::io;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a send brought no answer.
+    /// Why a send failed.
     #[derive(Debug)]
     pub enum Failure {
-        /// Nothing was sent.
+        /// The connection could not be opened: nothing was sent.
         Unreachable(why: io::Error) {
             display("connect: {why}")
         }
@@ -21,13 +21,13 @@
         Closed(step: &'static str, why: String) {
             display("{step}: {why}")
         }
-        /// The bytes received are no answer; the request may have run.
+        /// The bytes received are not a valid answer; the request may have run.
         Broken(step: &'static str, why: String) {
             display("{step}: {why}")
         }
-        /// Nothing came for too long; the request may have run.
+        /// Nothing was received for too long; the request may have run.
         Silent(after: Duration) {
-            display("silent for {} ms", after.as_millis())
+            display("nothing received for {} ms", after.as_millis())
         }
     }
 }
--- a/crates/router/src/proxy/http1.rs
+++ b/crates/router/src/proxy/http1.rs
@@ -1,9 +1,9 @@
-//! Heads and bodies of HTTP/1.1 messages, on bytes that are already there.
+//! Parses and writes HTTP/1.1 messages in memory buffers, without I/O.
 //!
-//! Parsed by `httparse`, which ntex uses as well. ntex's own client codec
-//! reads an answer without a length as an empty one and its `Io` does not
-//! tell a reset from an end, so that an answer cut on the way would look
-//! complete; here each way a body can end is told apart.
+//! Heads are parsed by `httparse`, which ntex uses as well. ntex's own client codec
+//! reads an answer without a length as empty, and its `Io` does not distinguish a
+//! reset from an orderly close, so that an answer cut off on the way would look
+//! complete. Here, each way in which a body can end is distinguished.
 
 mod body;
 
@@ -12,29 +12,29 @@
 use bytes::{Buf, Bytes, BytesMut};
 use quick_error::quick_error;
 
-/// Headers a message may carry.
+/// Largest number of headers of a message.
 const MAX_HEADERS: usize = 96;
 
 quick_error! {
-    /// Why bytes are no message.
+    /// Why bytes are not a valid message.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum BadMessage {
         /// The head is longer than allowed.
         TooLong(limit: usize) {
             display("the head is longer than {limit} bytes")
         }
-        /// The bytes break the protocol.
+        /// The bytes violate the protocol.
         Malformed(why: &'static str) {
             display("malformed: {why}")
         }
-        /// The connection ended before the message did.
+        /// The connection was closed before the end of the message.
         CutOff {
             display("cut off before its end")
         }
     }
 }
 
-/// Headers in the order they came.
+/// Headers in the order received.
 #[derive(Debug, Clone, Default)]
 pub struct Headers(Vec<(Bytes, Bytes)>);
 
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Headers that concern more than one connection, as they came.
+    /// The end-to-end headers, unchanged: those that are not hop-by-hop.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let listed: Vec<&str> =
             self.all("connection").flat_map(|v| v.split(',')).map(str::trim).collect();
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Whether the connection ends with this message.
+    /// Whether the connection closes after this message.
     pub fn closes(&self, minor: u8) -> bool {
         let mut options = self.all("connection").flat_map(|v| v.split(',')).map(str::trim);
         match minor {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Headers that concern one connection only. The length is among them since
-/// it is written anew.
+/// Hop-by-hop headers, which are not forwarded. `content-length` is among them since
+/// the router writes its own.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -95,9 +95,9 @@
 /// The head of a request.
 #[derive(Debug, Clone)]
 pub struct RequestHead {
-    /// Its method.
+    /// The method.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: String,
     /// 1 for HTTP/1.1, 0 for HTTP/1.0.
     pub minor: u8,
@@ -116,7 +116,7 @@
     pub headers: Headers,
 }
 
-/// Takes the head of a request from `buf`; `None` until it is whole.
+/// Takes the head of a request from `buf`; `None` until it is complete.
 pub fn request_head(buf: &mut BytesMut, limit: usize) -> Result<Option<RequestHead>, BadMessage> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -136,7 +136,7 @@
     }
 }
 
-/// Takes the head of an answer from `buf`; `None` until it is whole.
+/// Takes the head of an answer from `buf`; `None` until it is complete.
 pub fn response_head(buf: &mut BytesMut, limit: usize) -> Result<Option<ResponseHead>, BadMessage> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -161,19 +161,20 @@
     Headers(headers.iter().map(copy).collect())
 }
 
-/// How a body ends.
+/// How a body is delimited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// By its length in bytes.
     Length(u64),
-    /// With an empty chunk.
+    /// By an empty chunk.
     Chunked,
-    /// With the connection.
+    /// By the close of the connection.
     Close,
 }
 
-/// How the body of a request ends. A request whose length can be read in two
-/// ways is malformed.
+/// How the body of a request is delimited. A request with more than one statement
+/// of its length is malformed: peers could disagree on where it ends (request
+/// smuggling).
 pub fn request_framing(head: &RequestHead) -> Result<Framing, BadMessage> {
     match framing(&head.headers, head.minor)? {
         Some(framing) => Ok(framing),
@@ -181,7 +182,7 @@
     }
 }
 
-/// How the body of an answer to a request with `method` ends.
+/// How the body of an answer to a request with `method` is delimited.
 pub fn response_framing(method: &str, head: &ResponseHead) -> Result<Framing, BadMessage> {
     match head.status {
         100..=199 | 204 | 304 => Ok(Framing::Length(0)),
@@ -190,6 +191,7 @@
     }
 }
 
+/// How the headers delimit the body; `None` if they do not.
 fn framing(headers: &Headers, minor: u8) -> Result<Option<Framing>, BadMessage> {
     let count = |name: &str| {
         headers.0.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name.as_bytes())).count()
@@ -212,7 +214,7 @@
     }
 }
 
-/// Writes a request head; the body follows with its length.
+/// Writes a request: its head, then its body with the length.
 pub struct RequestWriter(BytesMut);
 
 impl RequestWriter {
@@ -276,7 +278,7 @@
         self.0
     }
 
-    /// Ends the head of an answer that has no body.
+    /// Ends the head of an answer without a body.
     pub fn bare(mut self) -> BytesMut {
         self.0.extend_from_slice(b"\r\n");
         self.0
@@ -297,5 +299,5 @@
     buf.extend_from_slice(b"\r\n");
 }
 
-/// What ends a chunked body.
+/// The end of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/router/src/proxy/http1/body.rs
+++ b/crates/router/src/proxy/http1/body.rs
@@ -1,16 +1,16 @@
-//! Bodies: where they end and what they hold.
+//! Decodes message bodies and finds their ends.
 
 use bytes::{Bytes, BytesMut};
 
 use super::{BadMessage, Framing};
 
-/// Longest line that tells the size of a chunk, extensions included.
+/// Longest line with the size of a chunk, in bytes, extensions included.
 const MAX_CHUNK_LINE: usize = 256;
 
 /// Longest trailers after a chunked body, in bytes.
 const MAX_TRAILERS: usize = 8 << 10;
 
-/// Takes a body apart.
+/// Decoder of one body.
 #[derive(Debug)]
 pub struct Body {
     state: State,
@@ -32,7 +32,7 @@
 pub enum Piece {
     /// Bytes of the body.
     Data(Bytes),
-    /// More bytes must arrive first.
+    /// More bytes must be received first.
     More,
     /// The body is complete.
     End,
@@ -51,8 +51,8 @@
 }
 
 impl Body {
-    /// The next piece of the body in `buf`; `ended` when the peer has closed
-    /// the connection in order.
+    /// The next piece of the body in `buf`; `ended` when the peer has closed the
+    /// connection without a reset.
     pub fn next(&mut self, buf: &mut BytesMut, ended: bool) -> Result<Piece, BadMessage> {
         loop {
             match self.state {
@@ -83,10 +83,10 @@
                     Some(_) => return Err(BadMessage::Malformed("end of a chunk")),
                     None => return Self::more(ended),
                 },
-                State::Trailers(seen) => match line(buf, MAX_TRAILERS)? {
+                State::Trailers(bytes) => match line(buf, MAX_TRAILERS)? {
                     Some(line) if line.is_empty() => self.state = State::Done,
-                    Some(line) if seen + line.len() <= MAX_TRAILERS => {
-                        self.state = State::Trailers(seen + line.len());
+                    Some(line) if bytes + line.len() <= MAX_TRAILERS => {
+                        self.state = State::Trailers(bytes + line.len());
                     }
                     Some(_) => return Err(BadMessage::Malformed("trailers too long")),
                     None => return Self::more(ended),
@@ -106,12 +106,13 @@
     }
 }
 
+/// Takes up to `left` bytes from `buf`; returns them and how many are still to come.
 fn take(buf: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let len = usize::try_from(left).unwrap_or(usize::MAX).min(buf.len());
     (buf.split_to(len).freeze(), left - len as u64)
 }
 
-/// Takes one line without its end.
+/// Takes one line, without its line end, of at most `limit` bytes.
 fn line(buf: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, BadMessage> {
     match buf.iter().position(|b| *b == b'\n') {
         Some(end) if end > limit => Err(BadMessage::Malformed("line too long")),
--- a/crates/router/src/proxy/logs.rs
+++ b/crates/router/src/proxy/logs.rs
@@ -1,11 +1,11 @@
-//! Structured logs to standard output, bounded and never blocking.
+//! Structured logs to standard output, through a bounded queue that never blocks.
 //!
-//! Lines go through a queue of [`MAX_LINES`]; one that finds it full is dropped
-//! and counted, so a reader that stalls never delays a request.
+//! The queue holds [`MAX_LINES`] lines; when it is full, further lines are dropped
+//! and counted, so a stalled reader of the output never delays a request.
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that may wait to be written: about ten seconds of a busy host.
+/// Lines that may be queued for writing: about ten seconds of a busy host.
 const MAX_LINES: usize = 4_096;
 
 /// The writer of log lines; lines are flushed when it is dropped.
@@ -15,7 +15,8 @@
     _writer: WorkerGuard,
 }
 
-/// Sets up logs: JSON, filtered by `MARJORAM_LOG`.
+/// Sets up logging as JSON, filtered by the environment variable `MARJORAM_LOG`
+/// (level `info` if it is unset or invalid).
 pub fn init() -> Logs {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_LINES);
     let (writer, guard) = builder.finish(std::io::stdout());
--- a/crates/router/src/proxy/options.rs
+++ b/crates/router/src/proxy/options.rs
@@ -1,5 +1,5 @@
-//! The command line of the proxy. A host's own settings are in the settings
-//! file; these are the few options an operator may choose.
+//! The command line of the proxy. Settings of the host are in the settings file;
+//! these are the few further options.
 
 use std::str::FromStr;
 
@@ -13,25 +13,25 @@
 /// Default port of the metrics.
 const METRICS_PORT: u16 = 9_464;
 
-/// Checked options.
+/// Validated options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProxyOptions {
     /// Path of the settings file.
     pub settings: String,
     /// Port of the metrics and the state dump, on the host's address.
     pub metrics_port: u16,
-    /// How engines are chosen.
+    /// The policy by which engines are chosen.
     pub policy: PolicyName,
-    /// What is switched off to measure its worth.
+    /// Mechanisms that are switched off to measure their effect.
     pub without: Switches,
 }
 
 /// What the command line asks for.
 #[derive(Debug)]
 pub enum Parsed {
-    /// Print this text and stop.
+    /// Print this help text and exit.
     Help(String),
-    /// Run.
+    /// Run the proxy.
     Run(ProxyOptions),
 }
 
@@ -51,7 +51,7 @@
     opts.optopt(
         "",
         "without",
-        "mechanisms switched off, to measure what they are worth (see docs/DECISIONS.md) [none]",
+        "mechanisms switched off, to measure their effect (see docs/DECISIONS.md) [none]",
         "NAME,...",
     );
     let m = opts.parse(args).map_err(|e| Error::Usage(e.to_string()))?;
@@ -66,6 +66,7 @@
     }))
 }
 
+/// The value of the option `name`, or `default`.
 fn option<T: FromStr>(m: &Matches, name: &'static str, default: T) -> Result<T, Error>
 where
     T::Err: std::fmt::Display,
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -1,17 +1,19 @@
-//! Requests that crash upstreams: the hosts' reports of crashes are combined,
-//! and a request that is found is no longer sent by any host.
+//! Detects requests that crash upstreams: combines the crash reports of all
+//! hosts, and keeps all hosts from sending a request that is identified.
 //!
 //! Load pattern: see `marjoram_core::poison`. A host sees at most a few of the
-//! crashes, and any host may be asked next, so each host that loses requests
-//! with an upstream reports to the hosts that detect; an entry is sent to all
-//! hosts, repeated in their greetings, and kept in the platform's store for
-//! those that start later.
+//! crashes, and the caller may send the request to any host next. So each host
+//! that loses requests in a crash reports them to the detecting hosts. An
+//! identified request is put in quarantine: the entry is sent to all hosts,
+//! repeated in their heartbeats, and stored in the platform's store for hosts
+//! that start later.
 //!
-//! Limits: an upstream has crashed if it closed a connection in mid-request
-//! and then refuses new ones, or answers them in another life. One that only
-//! reset connections accepts new ones; a link that is cut answers nothing; one
-//! that leaves, or changes weights on our order, may end requests for that
-//! reason.
+//! Limits: an upstream counts as crashed only if it closed a connection during
+//! a request and then refuses new connections, or answers them as another
+//! incarnation. An upstream that merely reset connections accepts new ones, and
+//! over a broken link nothing answers. Upstreams that are leaving, or that
+//! change weights on the routers' order, are not checked, since they may end
+//! requests for that reason.
 
 mod detection;
 mod records;
@@ -38,33 +40,35 @@
 pub use detection::{hear_quarantined, refuses, take_quarantined, take_record};
 pub use records::{keep, restore_records};
 
-/// Time in which a host notices all of its requests that an upstream ended.
+/// Delay before an upstream is checked, in which this host notices all of its
+/// requests that ended with the upstream's connections.
 const COLLECT_TIME: Duration = Duration::from_millis(20);
 
-/// Longest time to connect to an upstream that may have crashed.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Time-out of a connect to an upstream that may have crashed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Questions to an upstream that accepts connections but does not answer: one that
-/// has just started again may be slow to.
-const MAX_QUESTIONS: u32 = 2;
+/// Probes of an upstream that accepts connections but does not answer: one that
+/// has just restarted may be slow.
+const MAX_PROBES: u32 = 2;
 
-/// Key by which hosts are ranked for detecting crashes.
+/// Key by which rendezvous hashing selects the detecting hosts.
 const DETECTION: &str = "crashes";
 
-/// Hosts that detect, where there are more than [`FRESH_HOSTS`]: two of them may
-/// be down or unreachable.
+/// Detecting hosts where there are more than [`FRESH_HOSTS`] hosts: two of the
+/// three may be down or unreachable.
 const DETECTORS: usize = 3;
 
-/// Reports in one datagram, and how often each datagram is sent.
+/// Crash reports in one datagram.
 const MAX_REPORTS: usize = 200;
+/// Times that each datagram is sent, since datagrams can be lost.
 const SENDS: u32 = 2;
 
-/// Records that a send to `upstream` ended by `failure`; whether that may be
-/// a crash.
+/// Records that a send to `upstream` ended by `failure`; true if that may be a
+/// crash, which is then checked in a task of its own.
 pub fn broke(site: &Rc<Site>, upstream: &Rc<Upstream>, failure: &Failure, request: Broken) -> bool {
     let now = site.now();
-    let listed = site.fleet.get(&upstream.life).is_some() && !upstream.entry.borrow().leaving;
-    if !matches!(failure, Failure::Closed(..)) || !listed || upstream.is_closed(now) {
+    let in_service = site.fleet.get(&upstream.life).is_some() && !upstream.entry.borrow().leaving;
+    if !matches!(failure, Failure::Closed(..)) || !in_service || upstream.is_closed(now) {
         return false;
     }
     let mut broken = site.poison.broken.borrow_mut();
@@ -76,13 +80,14 @@
     true
 }
 
-/// Checks whether `upstream` has crashed, and reports the requests at it.
+/// Checks whether `upstream` has crashed, and if so reports this host's requests
+/// that were in flight there.
 async fn inspect(site: Rc<Site>, upstream: Rc<Upstream>) {
     tokio::time::sleep(COLLECT_TIME).await;
     let crashed = has_crashed(&site, &upstream).await;
     let broken = site.poison.broken.borrow_mut().remove(&upstream.life).unwrap_or_default();
     tracing::info!(target: "poison", upstream = %upstream.life, key = upstream.key,
-        requests = broken.len(), crashed, "upstream ended requests");
+        requests = broken.len(), crashed, "upstream closed connections during requests");
     if !crashed {
         return;
     }
@@ -100,45 +105,48 @@
     for report in &reports {
         tracing::info!(target: "poison", fingerprint = %report.request, upstream = %upstream.life,
             attempt = report.attempt, ran_ms = report.ran.map(|ran| ran.as_millis() as u64),
-            well_ms = report.well.map(|age| age.as_millis() as u64), "was there when it crashed");
+            well_ms = report.well.map(|age| age.as_millis() as u64), "request was in flight when upstream crashed");
     }
     let detectors = site.peers.first_ranked(xxh3_64(DETECTION.as_bytes()), detectors(&site));
-    for some in reports.chunks(MAX_REPORTS) {
-        let some = some.to_vec();
-        site.peers.tell(detectors.clone(), SENDS, move || Message::Crashes(some.clone()));
+    for chunk in reports.chunks(MAX_REPORTS) {
+        let chunk = chunk.to_vec();
+        site.peers.tell(detectors.clone(), SENDS, move || Message::Crashes(chunk.clone()));
     }
     hear_reports(&site, &reports);
 }
 
-/// Whether `upstream`, which has just ended requests, has crashed.
+/// Whether `upstream`, which has just closed connections, has crashed. One that
+/// answers no probe is assumed not to have.
 async fn has_crashed(site: &Site, upstream: &Upstream) -> bool {
-    for _ in 0..MAX_QUESTIONS {
-        if let Some(crashed) = looks_crashed(site, upstream).await {
+    for _ in 0..MAX_PROBES {
+        if let Some(crashed) = probe(site, upstream).await {
             return crashed;
         }
     }
-    tracing::info!(target: "poison", upstream = %upstream.life, questions = MAX_QUESTIONS,
-        "no report, not taken to have crashed");
+    tracing::info!(target: "poison", upstream = %upstream.life, questions = MAX_PROBES,
+        "upstream answered no probe, assumed not to have crashed");
     false
 }
 
-/// Whether `upstream` refuses connections, or another life accepts them already;
-/// `None` if it accepts them and does not answer.
-async fn looks_crashed(site: &Site, upstream: &Upstream) -> Option<bool> {
+/// Probes `upstream` once: true if it refuses connections or another incarnation
+/// already accepts them; `None` if it accepts them but does not answer.
+async fn probe(site: &Site, upstream: &Upstream) -> Option<bool> {
     let addr = upstream.entry.borrow().addr;
-    match Conn::connect(addr, CONNECT).await {
-        // What outlives the requests is a connection to the same life.
+    match Conn::connect(addr, CONNECT_TIMEOUT).await {
+        // An idle connection that is still open is to the same process, so that
+        // has not crashed.
         Ok(_) if upstream.pool.has_quiet(site.now()) => Some(false),
-        Ok(_) => match question(site, upstream) {
-            Some(question) => reports::is_replaced(upstream, &question).await,
+        Ok(_) => match probe_call(site, upstream) {
+            Some(call) => reports::is_replaced(upstream, &call).await,
             None => Some(false),
         },
         Err(error) => Some(error.kind() == io::ErrorKind::ConnectionRefused),
     }
 }
 
-/// The question that any other life of `upstream` refuses, if there is one.
-fn question(site: &Site, upstream: &Upstream) -> Option<Call> {
+/// The call by which a probe tells incarnations of `upstream` apart, if its
+/// service has one: an upstream refuses a call addressed to another incarnation.
+fn probe_call(site: &Site, upstream: &Upstream) -> Option<Call> {
     let catalog = site.catalog()?;
     let service = catalog.services.get(&upstream.entry.borrow().service)?;
     match service.role {
@@ -148,7 +156,7 @@
     }
 }
 
-/// The number of hosts that detect: all, where there are few.
+/// The number of detecting hosts: all, where there are few.
 fn detectors(site: &Site) -> usize {
     match site.peers.count() {
         hosts if hosts <= FRESH_HOSTS => hosts,
@@ -156,12 +164,12 @@
     }
 }
 
-/// Handles a host's reports of a crash.
+/// Handles crash reports, of this host or another, at a detecting host.
 pub fn hear_reports(site: &Rc<Site>, reports: &[CrashReport]) {
     let (now, wall) = (site.now(), clock::wall());
     let poison = &site.poison;
     for report in reports {
-        // The clock of another host may be ahead.
+        // Times are wall-clock times, and the clock of another host may be ahead.
         let report = CrashReport { at: report.at.min(wall), ..report.clone() };
         let (refused, again) = {
             let quarantine = poison.quarantine.borrow();
@@ -169,7 +177,7 @@
         };
         match (refused, again) {
             (Some(_), _) => poison.suspects.borrow_mut().explain(&[report.upstream]),
-            (None, Some(entry)) => detection::pass(site, vec![entry]),
+            (None, Some(entry)) => detection::publish(site, vec![entry]),
             (None, None) => poison.suspects.borrow_mut().add(&report, now),
         }
     }
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -1,5 +1,5 @@
-//! Entries of the quarantine: found by the hosts that detect, sent to all, and
-//! enforced.
+//! The quarantine: detecting hosts identify requests that crash upstreams, and all
+//! hosts receive the entries and refuse these requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,55 +12,60 @@
 use crate::proxy::hosts::Message;
 use crate::proxy::site::Site;
 
-/// Time from a report that completes a suspect's crashes to the detection.
+/// Delay from the report with which a request may have reached the number of
+/// crashes for quarantine to the detection: reports of other hosts on the same
+/// crash arrive within [`SETTLE`].
 const DETECTION_DELAY: Duration = SETTLE.saturating_add(Duration::from_millis(5));
 
-/// How much later than a crash an upstream must be heard to count as alive:
-/// what it sent before may be read late.
+/// How long after a reported crash bytes must arrive from an upstream to prove
+/// that it is alive: bytes that it sent before may be read late.
 const READ_DELAY: Duration = Duration::from_millis(100);
 
-/// Times a new entry is sent to each host, besides the greetings.
+/// Times that a new entry is sent to each host at once, besides the heartbeats,
+/// since datagrams can be lost.
 const SENDS: u32 = 2;
 
-/// Where an entry was learnt.
+/// Source of an entry, in logs: detected by this host, or received from another.
 const OWN: &str = "own";
 const PEER: &str = "peer";
 
-/// Detects until no more reports arrive that may complete a suspect's crashes, and
-/// all suspects that were at enough of them are judged.
+/// Runs the detection until no more reports arrive that call for it, and all
+/// requests that were in flight at enough crashes have been decided on.
 pub(super) async fn run(site: Rc<Site>) {
     loop {
         let called = site.poison.called.get();
         tokio::time::sleep(DETECTION_DELAY).await;
         detect(&site);
-        let unjudged = site.poison.suspects.borrow().is_unjudged();
-        if site.poison.called.get() == called && !unjudged {
+        let undecided = site.poison.suspects.borrow().is_unjudged();
+        if site.poison.called.get() == called && !undecided {
             site.poison.detecting.set(false);
             return;
         }
     }
 }
 
+/// Withdraws crash reports on upstreams that have proved alive, and puts the
+/// requests that are identified in quarantine.
 fn detect(site: &Rc<Site>) {
     let now = site.now();
     let upstreams = site.fleet.all();
-    let lives = |key: u64, since: Duration| {
+    let is_alive = |key: u64, since: Duration| {
         let span = now.saturating_sub(since + READ_DELAY);
-        let mut known = upstreams.iter().filter(|u| u.key == key);
-        known.any(|u| u.health.borrow().was_alive(now, span))
+        let mut matching = upstreams.iter().filter(|u| u.key == key);
+        matching.any(|u| u.health.borrow().was_alive(now, span))
     };
-    let found = {
+    let identified = {
         let mut suspects = site.poison.suspects.borrow_mut();
-        suspects.refute(now, lives);
+        suspects.refute(now, is_alive);
         suspects.detect(now)
     };
     let at = clock::wall();
     let entry = |(request, upstreams)| Quarantined::new(request, upstreams, at);
-    pass(site, found.into_iter().map(entry).collect());
+    publish(site, identified.into_iter().map(entry).collect());
 }
 
-/// Adds entries found by this host, and sends them to all hosts.
-pub(super) fn pass(site: &Site, entries: Vec<Quarantined>) {
+/// Adds entries detected by this host, and sends them to all hosts.
+pub(super) fn publish(site: &Site, entries: Vec<Quarantined>) {
     if entries.is_empty() {
         return;
     }
@@ -71,12 +76,12 @@
     }
 }
 
-/// Adds entries that another host sent.
+/// Adds entries received from another host.
 pub fn hear_quarantined(site: &Site, entries: Vec<Quarantined>) {
     take_quarantined(site, entries, PEER);
 }
 
-/// Adds entries learnt from `source`.
+/// Adds entries received from `source`, a name for the log.
 pub fn take_quarantined(site: &Site, entries: Vec<Quarantined>, source: &str) {
     let (now, wall) = (site.now(), clock::wall());
     let poison = &site.poison;
@@ -100,7 +105,7 @@
         tracing::warn!(target: "poison", fingerprint = %request, upstreams = ?entry.upstreams,
             repeats = entry.repeats, age_ms = wall.saturating_sub(entry.at).as_millis() as u64,
             left_s = entry.until().saturating_sub(wall).as_secs(), source,
-            "request quarantined: upstreams crashed under it");
+            "request quarantined: upstreams crashed while it was in flight");
         if [OWN, PEER].contains(&source) {
             poison.told.borrow_mut().push((entry.clone(), now));
         }
@@ -114,26 +119,27 @@
     }
 }
 
-/// Handles the record under `key`, if it is an entry's; whether it is.
+/// Handles the record under `key` if it is a quarantine entry; false if not.
 pub fn take_record(site: &Site, key: &str, value: Option<&[u8]>) -> bool {
     let Some(request) = key.strip_prefix(records::KEY_PREFIX) else { return false };
     let parsed = value.map(serde_json::from_slice::<Quarantined>);
     match parsed {
-        // Removed once its term had passed.
+        // The entry had expired and its record was removed.
         None => {}
         Some(Ok(entry)) if entry.request.to_string() == request => {
             take_quarantined(site, vec![entry], records::STORE);
         }
-        Some(_) => tracing::error!(target: "poison", key, "record of no entry"),
+        Some(_) => tracing::error!(target: "poison", key, "malformed quarantine record"),
     }
     true
 }
 
-/// For how long `request`, sent by the attempt `id`, is still refused.
+/// For how long `request`, whose attempt is `id`, is still refused; `None` if it
+/// is not in quarantine.
 pub fn refuses(site: &Site, request: Fingerprint, id: &str) -> Option<Duration> {
     let left = site.poison.quarantine.borrow().refuses(request, clock::wall())?;
     site.counters.count("poison.refused");
     tracing::info!(target: "poison", id, fingerprint = %request, left_s = left.as_secs(),
-        "kept from upstreams");
+        "request refused: in quarantine");
     Some(left)
 }
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -1,4 +1,4 @@
-//! Entries in the platform's store, for hosts that start later.
+//! Stores quarantine entries in the platform's store, for hosts that start later.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,33 +13,35 @@
 use crate::proxy::site::Site;
 use crate::proxy::storelink::{self, Listed};
 
-/// Prefix of the keys of entries among the hosts' records.
+/// Prefix of the keys of quarantine entries among the hosts' records.
 pub(super) const KEY_PREFIX: &str = "quarantine/";
 
-/// Where an entry was learnt.
+/// Source of an entry, in logs: read from the store.
 pub(super) const STORE: &str = "store";
 
-/// Hosts that write an entry: one may be down, and another unreachable.
+/// Hosts that write each entry: one may be down, and another unreachable.
 const WRITERS: usize = 3;
 
 /// Time between checks for expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Records that may wait to be written while the store is away.
-const MAX_WAITING: usize = 1_024;
+/// Records that may be queued for writing while the store is unavailable.
+const MAX_QUEUED: usize = 1_024;
 
-/// Has the entries in force written again that a whole list of records lacks, or
-/// has an earlier one of: the store returned from a copy without them.
+/// Queues the entries in force that are missing from `listed`, the complete list
+/// of records, or are older there: the store may have been restored from a copy
+/// without them.
 pub fn restore_records(site: &Site, listed: &Listed) {
     for entry in site.poison.entries() {
-        let kept = listed.get(&format!("{KEY_PREFIX}{}", entry.request));
-        let kept = kept.and_then(|v| serde_json::from_slice::<Quarantined>(v).ok());
-        if kept.is_none_or(|kept| kept.repeats < entry.repeats) {
+        let stored = listed.get(&format!("{KEY_PREFIX}{}", entry.request));
+        let stored = stored.and_then(|v| serde_json::from_slice::<Quarantined>(v).ok());
+        if stored.is_none_or(|stored| stored.repeats < entry.repeats) {
             keep_record(site, entry);
         }
     }
 }
 
+/// Whether this host is among the first `count` for quarantine records.
 fn ranks_within(site: &Site, count: usize) -> bool {
     site.peers.ranks_within(xxh3_64(DETECTION.as_bytes()), count)
 }
@@ -60,13 +62,13 @@
 
 fn queue(site: &Site, request: Fingerprint, entry: Option<Quarantined>) {
     let mut writes = site.poison.writes.borrow_mut();
-    if writes.len() < MAX_WAITING || writes.contains_key(&request) {
+    if writes.len() < MAX_QUEUED || writes.contains_key(&request) {
         writes.insert(request, entry);
         site.poison.written.notify_one();
     }
 }
 
-/// Writes what is queued, and removes expired entries, until the process ends.
+/// Writes the queued records and removes expired entries, until the process ends.
 pub async fn keep(site: Rc<Site>) {
     loop {
         let next = site.poison.writes.borrow().iter().next().map(|(r, v)| (*r, v.clone()));
@@ -77,16 +79,16 @@
                 storelink::write(&site, &Record { key: format!("{KEY_PREFIX}{request}"), value })
                     .await;
                 let mut writes = site.poison.writes.borrow_mut();
-                // It may have been queued anew meanwhile.
+                // A newer value may have been queued during the write.
                 if writes.get(&request) == Some(&entry) {
                     writes.remove(&request);
                 }
             }
             None => {
                 let _ = tokio::time::timeout(SWEEP_INTERVAL, site.poison.written.notified()).await;
-                let over = site.poison.quarantine.borrow_mut().expire(clock::wall());
-                for request in over {
-                    tracing::info!(target: "poison", fingerprint = %request, "quarantine over");
+                let expired = site.poison.quarantine.borrow_mut().expire(clock::wall());
+                for request in expired {
+                    tracing::info!(target: "poison", fingerprint = %request, "quarantine expired");
                     drop_record(&site, request);
                 }
             }
--- a/crates/router/src/proxy/pool.rs
+++ b/crates/router/src/proxy/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one upstream.
+//! Pool of keep-alive connections to one upstream.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -6,22 +6,23 @@
 
 use super::conn::Conn;
 
-/// How long a connection is kept where the upstream states no time.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+/// Idle time-out that is assumed for an upstream which sends none in `Keep-Alive`.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Subtracted from the time that the upstream states: the request must arrive
-/// before the upstream closes, and the time is given in whole seconds.
+/// Subtracted from the upstream's idle time-out: the request must arrive before
+/// the upstream closes, and the time-out is given in whole seconds.
 const IDLE_MARGIN: Duration = Duration::from_millis(800);
 
-/// Idle connections to one upstream, and the count of all.
+/// The idle connections, and the number of those in use.
 #[derive(Debug, Default)]
 pub struct Pool {
+    /// Idle connections with the time until which they can be used.
     idle: RefCell<VecDeque<(Conn, Duration)>>,
-    open: Cell<u32>,
+    in_use: Cell<u32>,
 }
 
 impl Pool {
-    /// The connection used last that is still good at `now`.
+    /// Takes the most recently used connection that can still be used at `now`.
     pub fn take(&self, now: Duration) -> Option<Conn> {
         loop {
             let (mut conn, until) = self.idle.borrow_mut().pop_back()?;
@@ -31,16 +32,16 @@
         }
     }
 
-    /// Keeps `conn`, which the upstream keeps open for `stated`.
-    pub fn put(&self, conn: Conn, stated: Option<Duration>, now: Duration) {
-        let keep = stated.unwrap_or(DEFAULT_IDLE).saturating_sub(IDLE_MARGIN);
+    /// Returns `conn` to the pool; `idle_timeout` is the upstream's, if it sent one.
+    pub fn put(&self, conn: Conn, idle_timeout: Option<Duration>, now: Duration) {
+        let keep = idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT).saturating_sub(IDLE_MARGIN);
         if keep > Duration::ZERO {
             self.idle.borrow_mut().push_back((conn, now + keep));
         }
     }
 
-    /// Closes connections that have been idle for too long at `now`, or that
-    /// the upstream has closed.
+    /// Drops the connections that have been idle for too long at `now`, or that the
+    /// upstream has closed.
     pub fn sweep(&self, now: Duration) {
         self.idle.borrow_mut().retain_mut(|(conn, until)| now < *until && conn.is_quiet());
     }
@@ -56,18 +57,18 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Idle connections.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().len()
     }
 
-    /// Connections in use.
+    /// Number of connections in use.
     pub fn in_use(&self) -> u32 {
-        self.open.get()
+        self.in_use.get()
     }
 
-    /// Counts a connection as in use or no longer so.
+    /// Changes the number of connections in use by `change`.
     pub fn count(&self, change: i32) {
-        self.open.set(self.open.get().saturating_add_signed(change));
+        self.in_use.set(self.in_use.get().saturating_add_signed(change));
     }
 }
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -1,5 +1,6 @@
-//! Keeps the workspaces to their quotas: requests are admitted or refused, and
-//! the hosts that account for a workspace are told and answer. What is decided is
+//! Enforces the workspaces' quotas. Each host admits or refuses requests, and
+//! reports what it admitted to the coordinators, the hosts that keep the accounts
+//! of a workspace; these answer with the ratio to admit. The rules are in
 //! [`marjoram_core::quota`].
 
 use std::collections::HashMap;
@@ -19,21 +20,23 @@
 use super::refusal::Refusal;
 use super::site::Site;
 
-/// Longest time after which those refused for a quota come back, and the part of
-/// it by which they are spread, so that they do not come back together.
+/// Longest time in `Retry-After` of a refusal for a quota.
 const RETRY_MAX: Duration = Duration::from_secs(8);
-const RETRY_SPREAD: f64 = 0.5;
+/// Largest fraction by which that time is randomly extended, so that callers
+/// refused together do not retry together.
+const RETRY_JITTER: f64 = 0.5;
 
-/// Pause after a report made for a workspace's first request.
+/// Pause after a report that was made early for a workspace's first request.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
 
-/// Usages or verdicts in one datagram: some 30 bytes each.
-const MAX_TOLD: usize = 200;
+/// Usages or verdicts in one datagram: about 30 bytes each.
+const MAX_BATCH: usize = 200;
 
-/// Seed of the number drawn for a request by its attempt.
-const DRAW: u64 = 1;
+/// Seed of the hash of the attempt's id that decides on a request when only a
+/// part of the requests is admitted.
+const DRAW_SEED: u64 = 1;
 
-/// What a request counts against the quota of its workspace.
+/// What a request was charged to the quota of its workspace.
 #[derive(Debug, Clone, Copy)]
 pub struct Charge {
     workspace: u64,
@@ -41,21 +44,25 @@
 }
 
 impl Charge {
-    /// Gives it back: the request has not run.
+    /// Refunds the charge of a request that has not run.
     pub fn refund(self, site: &Site) {
         site.quotas.gate.borrow_mut().refund(self.workspace, self.cost, site.now());
     }
 }
 
+/// Hash of the workspace's name, by which hosts refer to it.
 fn key(workspace: &Workspace) -> u64 {
     xxh3_64(workspace.name.as_bytes())
 }
 
+/// `quota` with the tolerance that the operators allow.
 fn limit(site: &Site, quota: Quota) -> Limit {
     Limit { quota, tolerance: site.settings.load().bounds.quota }
 }
 
-/// Decides on a request of `workspace`; what it counts if it is admitted.
+/// Admits or refuses a request of `workspace`; the charge if it is admitted and
+/// the workspace has a quota. When only a part is
+/// admitted, a hash of the attempt's id decides, the same on every host.
 pub fn admit(site: &Site, workspace: &Workspace, asked: &Asked) -> Result<Option<Charge>, Refusal> {
     let Some(quota) = workspace.quota else { return Ok(None) };
     if !site.recalled.get() {
@@ -65,7 +72,7 @@
     let id = asked.attempt.as_deref().unwrap_or_default().as_bytes();
     let draw = match id {
         [] => rand::random(),
-        id => xxh3_64_with_seed(id, DRAW) as f64 / u64::MAX as f64,
+        id => xxh3_64_with_seed(id, DRAW_SEED) as f64 / u64::MAX as f64,
     };
     let hosts = site.peers.count();
     let admission = {
@@ -80,14 +87,14 @@
         Admission::Admitted => Ok(Some(charge)),
         Admission::Refused(wait) => {
             site.counters.count("quota.refused");
-            let spread = 1.0 + RETRY_SPREAD * rand::random::<f64>();
-            Err(Refusal::over_quota(quota, wait.mul_f64(spread).min(RETRY_MAX)))
+            let jitter = 1.0 + RETRY_JITTER * rand::random::<f64>();
+            Err(Refusal::over_quota(quota, wait.mul_f64(jitter).min(RETRY_MAX)))
         }
     }
 }
 
-/// Reports what this host admitted, and settles the accounts that it keeps, until
-/// the process ends.
+/// Reports what this host admitted, and updates the accounts that it keeps, until
+/// the process ends. A workspace's first request is reported at once.
 pub async fn run(site: Rc<Site>) {
     loop {
         let next = site.at(site.now() + REPORT_INTERVAL);
@@ -103,40 +110,42 @@
     }
 }
 
-/// The quotas by the hashed name of their workspace.
+/// The quotas by the hash of their workspace's name.
 fn quotas(catalog: &Catalog) -> HashMap<u64, (&Workspace, Quota)> {
     let workspaces = catalog.workspaces.iter().flatten();
     workspaces.filter_map(|w| Some((key(w), (&**w, w.quota?)))).collect()
 }
 
-/// This host, as accounts know it.
+/// This process as the sender of reports to coordinators.
 fn sender(site: &Site) -> Sender {
     Sender { host: xxh3_64(site.peers.name.as_bytes()), life: site.peers.record.life }
 }
 
-/// Brings the accounts that this host keeps up to the present.
+/// Updates the accounts that this host keeps as a coordinator to the present.
 fn settle(site: &Site, quotas: &HashMap<u64, (&Workspace, Quota)>) {
     let now = site.now();
     let hosts = site.peers.reach(RESERVED);
     let mut ledger = site.quotas.ledger.borrow_mut();
     ledger.retain(|workspace| quotas.contains_key(&workspace));
     for workspace in ledger.workspaces() {
-        let Some((named, quota)) = quotas.get(&workspace) else { continue };
+        let Some((config, quota)) = quotas.get(&workspace) else { continue };
         ledger.settle(workspace, &limit(site, *quota), &hosts, now);
         let Some(standing) = ledger.standing(workspace, now) else { continue };
         let limited = standing.pass < 1.0;
         let before = site.quotas.limited.borrow_mut().insert(workspace, limited);
         if before.unwrap_or_default() != limited {
-            tracing::info!(target: "quota", workspace = named.name, limited,
+            tracing::info!(target: "quota", workspace = config.name, limited,
                 pass = standing.pass, level = standing.level, demand = standing.demand,
                 rate = quota.rate, reserved = standing.reserved, heard = hosts.heard,
-                silent = hosts.silent.len(), "account settled");
+                silent = hosts.silent.len(), "quota limiting of workspace started or ended");
         }
     }
     *site.quotas.hosts.borrow_mut() = hosts;
 }
 
-/// Tells the accounts what this host admitted.
+/// Sends what this host admitted to the coordinators, or applies it here where
+/// this host is one. Without coordinators (switched off), each host admits an
+/// equal share of the quota.
 fn report(site: &Rc<Site>, quotas: &HashMap<u64, (&Workspace, Quota)>) {
     let now = site.now();
     let usages = {
@@ -154,15 +163,15 @@
     }
     let own = site.is_ready().then(|| site.settings.load().capacity.room());
     for (group, usages) in groups {
-        for account in site.peers.roomiest(group, ACCOUNTS, own) {
-            for some in usages.chunks(MAX_TOLD) {
-                match account {
+        for coordinator in site.peers.roomiest(group, ACCOUNTS, own) {
+            for chunk in usages.chunks(MAX_BATCH) {
+                match coordinator {
                     Some(addr) => {
-                        let message = Message::Usages(sender(site), some.to_vec());
+                        let message = Message::Usages(sender(site), chunk.to_vec());
                         site.peers.send_to(addr, &message);
                     }
                     None => {
-                        let verdicts = account_for(site, sender(site), some);
+                        let verdicts = account_for(site, sender(site), chunk);
                         hear_verdicts(site, sender(site).host, &verdicts);
                     }
                 }
@@ -171,7 +180,8 @@
     }
 }
 
-/// Takes in what `from` admitted, and answers what it may.
+/// Applies the usages that the host at `from` reports, and answers with the
+/// verdicts on what it may admit.
 pub fn hear_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
     let verdicts = account_for(site, sender, usages);
     if !verdicts.is_empty() {
@@ -180,6 +190,9 @@
     }
 }
 
+/// Applies usages reported by `sender` to the accounts kept here; returns the
+/// verdicts, or none while this host may not act as a coordinator. Accounts that
+/// these usages have opened are settled at once.
 fn account_for(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Verdict> {
     let now = site.now();
     let mut ledger = site.quotas.ledger.borrow_mut();
@@ -200,20 +213,20 @@
     usages.iter().filter_map(|usage| ledger.verdict(usage.workspace, sender.host)).collect()
 }
 
-/// Takes in what the account at the host `account` answers.
+/// Applies the verdicts of the coordinator `account`, a hash of the host's name.
 pub fn hear_verdicts(site: &Site, account: u64, verdicts: &[Verdict]) {
     let now = site.now();
     let mut gate = site.quotas.gate.borrow_mut();
     verdicts.iter().for_each(|verdict| gate.hear(account, *verdict, now));
 }
 
-/// The workspaces with quotas as this host knows them, for the state dump.
+/// State of the workspaces with quotas at this host, for the state dump.
 pub fn state(site: &Site) -> Vec<serde_json::Value> {
     let (now, hosts) = (site.now(), site.peers.count());
     let Some(catalog) = site.catalog() else { return Vec::new() };
     let gate = site.quotas.gate.borrow();
     let ledger = site.quotas.ledger.borrow();
-    let line = |(workspace, (named, quota)): (u64, (&Workspace, Quota))| {
+    let line = |(workspace, (config, quota)): (u64, (&Workspace, Quota))| {
         let (pass, alone) = match gate.mode(workspace, hosts, now) {
             Some(Mode::Told(pass)) => (Some(pass), None),
             Some(Mode::Alone(share)) => (None, Some(share)),
@@ -224,7 +237,7 @@
             serde_json::json!({ "pass": s.pass, "level": s.level, "demand": s.demand,
                 "reserved": s.reserved })
         });
-        serde_json::json!({ "workspace": named.name, "unit": quota.unit.to_string(),
+        serde_json::json!({ "workspace": config.name, "unit": quota.unit.to_string(),
             "rate": quota.rate, "burst": quota.burst, "pass": pass, "alone": alone,
             "admitted": totals.map(|t| t.admitted), "refused": totals.map(|t| t.refused),
             "account": account })
@@ -234,14 +247,14 @@
     lines
 }
 
-/// What was decided, by workspace, for the metrics.
+/// Units admitted and requests refused by workspace, as text for the metrics.
 pub fn metrics(site: &Site) -> String {
     let Some(catalog) = site.catalog() else { return String::new() };
     let gate = site.quotas.gate.borrow();
     let mut lines: Vec<String> = Vec::new();
-    for (workspace, (named, quota)) in quotas(&catalog) {
+    for (workspace, (config, quota)) in quotas(&catalog) {
         let Some(totals) = gate.totals(workspace) else { continue };
-        let (name, unit) = (&named.name, quota.unit);
+        let (name, unit) = (&config.name, quota.unit);
         let admitted = totals.admitted;
         lines.push(format!("marjoram_quota_{unit}_admitted{{workspace=\"{name}\"}} {admitted}\n"));
         let refused = totals.refused;
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -1,14 +1,14 @@
-//! What engines report of themselves, and how a wrong belief is corrected by it.
+//! Queries engines for their state, to correct this host's records of them.
 //!
-//! Load pattern: an order that was lost is carried out seconds later, so an
-//! engine serves other weights than any host believes and refuses all it is
-//! sent. One engine refused 700 requests in 20 seconds that way, since each
-//! host guessed what it had changed to and never found out. Or a host has not
-//! heard that an engine changes its weights, and loses a request each time it
-//! tries again.
+//! Load pattern: an order to change weights that seemed lost is carried out
+//! seconds later, so an engine serves another version than any host has recorded
+//! and refuses all requests sent for the recorded one. One engine refused 700
+//! requests in 20 seconds that way, since each host guessed the new version and
+//! never asked. Or a host has not received the notice that an engine is changing
+//! its weights, and loses a request each time it tries the engine again.
 //!
-//! Limits: a host asks an engine one question at a time, in a task of its own
-//! that always ends, whatever becomes of the request that met the refusal.
+//! Limits: a host sends an engine one query at a time. The query runs in a task of
+//! its own that always ends, also if the caller of the refused request leaves.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,36 +25,39 @@
 use super::site::Site;
 use super::storeclient::Caller;
 
-/// Time for an engine's answer: it takes a few milliseconds.
+/// Time-out of an engine's answer, which usually takes a few milliseconds.
 pub const ANSWER: Duration = Duration::from_millis(300);
 
-/// How old a report may be: after this time one tells what was so before.
+/// How far a report may lag behind the engine's state: a query sent this long
+/// after a refusal returns the state after the refusal.
 const LAG: Duration = Duration::from_millis(300);
 
-/// Longest time between two questions to an engine that changes: each takes
-/// a little of its time, and streams that it finishes first last seconds.
+/// Longest time between two queries to an engine that is changing its weights:
+/// each costs it a little time, and the streams that it finishes first last
+/// seconds.
 const MAX_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// How long an engine that changes is asked: after that it is tried again.
-const WATCHED: Duration = Duration::from_secs(10);
+/// How long an engine that reports a change is queried and gets no requests; after
+/// that it is used again.
+const MAX_WATCH: Duration = Duration::from_secs(10);
 
-/// A question that an engine is being asked, until dropped.
-struct Question(Rc<Upstream>);
+/// Marks an engine as being queried, until dropped.
+struct Query(Rc<Upstream>);
 
-impl Question {
-    /// A question to `upstream`, unless it is being asked one.
+impl Query {
+    /// Begins a query of `upstream`; `None` if one is under way.
     fn begin(upstream: &Rc<Upstream>) -> Option<Self> {
         (!upstream.asking.replace(true)).then(|| Self(upstream.clone()))
     }
 }
 
-impl Drop for Question {
+impl Drop for Query {
     fn drop(&mut self) {
         self.0.asking.set(false);
     }
 }
 
-/// Asks `upstream` what it does; an answer of another life is none.
+/// Queries the state of `upstream`. An answer of another incarnation is an error.
 pub async fn ask(caller: &mut Caller, upstream: &Upstream) -> Result<Report, String> {
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
     match caller.call(&engine::report(), &headers, ANSWER).await {
@@ -62,7 +65,7 @@
             let report = engine::parse_report(&reply.body).map_err(|e| e.to_string())?;
             match report.born.agrees(upstream.life.born) {
                 true => Ok(report),
-                false => Err(format!("report of another life, born {}", report.born)),
+                false => Err(format!("report of another incarnation, started {}", report.born)),
             }
         }
         Ok(reply) => Err(format!("report: status {}", reply.status)),
@@ -70,28 +73,35 @@
     }
 }
 
-/// Asks `upstream` once, on a connection of its own.
+/// Queries `upstream` once, on a new connection.
 pub async fn ask_once(upstream: &Upstream) -> Result<Report, String> {
     let addr = upstream.entry.borrow().addr;
     ask(&mut Caller::new(addr), upstream).await
 }
 
-/// Takes in that `upstream` refused a request meant for the version `asked` of
-/// `model`: it is asked what it serves, once for all requests of this host.
+/// Handles the refusal by `upstream` of a request sent for the version `asked` of
+/// `model`: queries which version it serves, once for all requests of this host,
+/// and returns when that has been recorded.
 pub async fn refused(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str, asked: u64) {
-    let Some(question) = Question::begin(upstream) else { return };
-    let meant = Weights { model: model.to_string(), version: asked };
-    let (told, heard) = oneshot::channel();
-    ntex::rt::spawn(find_out(site.clone(), question, meant, told));
-    // Fails only if the task is gone, and then nothing is known.
-    let _ = heard.await;
+    let Some(query) = Query::begin(upstream) else { return };
+    let recorded = Weights { model: model.to_string(), version: asked };
+    let (sender, receiver) = oneshot::channel();
+    ntex::rt::spawn(resolve_weights(site.clone(), query, recorded, sender));
+    // Fails only if the task has ended without a result.
+    let _ = receiver.await;
 }
 
-/// Asks which weights an engine serves that refused `meant`, and once more when
-/// the report can no longer be of before the refusal.
-async fn find_out(site: Rc<Site>, question: Question, meant: Weights, told: oneshot::Sender<()>) {
-    let upstream = &question.0;
-    let (model, asked) = (&meant.model, meant.version);
+/// Queries which weights are served by an engine that refused a request for
+/// `recorded`, and queries once more when the report can no longer be from before
+/// the refusal.
+async fn resolve_weights(
+    site: Rc<Site>,
+    query: Query,
+    recorded: Weights,
+    done: oneshot::Sender<()>,
+) {
+    let upstream = &query.0;
+    let (model, asked) = (&recorded.model, recorded.version);
     let reported = match site.has(Mechanism::Reports) {
         true => served(upstream, model).await,
         false => None,
@@ -99,10 +109,10 @@
     let newest = site.named.borrow().get(model).and_then(|n| n.newest());
     let version = rollout::after_refusal(asked, reported, newest);
     tracing::info!(target: "weights", upstream = %upstream.life, asked, reported, version,
-        "refused for its weights");
+        "upstream refused request for its weights version");
     upstream.states(model, version);
-    // The request that waits for this may be gone.
-    let _ = told.send(());
+    // The request that waits for this may have ended.
+    let _ = done.send(());
     if !site.has(Mechanism::Reports) {
         return;
     }
@@ -113,35 +123,35 @@
     }
 }
 
-/// Takes in that `upstream` refused a request without a word why. If it is due
-/// to change its weights of `model`, it most likely does: it gets no more from
-/// this host until it says that it does not.
+/// Handles the refusal of a request by `upstream` without a reason. If a newer
+/// version of `model` has been announced than it serves, it is most likely changing
+/// its weights: this host sends it no requests until it reports no change.
 pub fn busy(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str) {
     let newest = site.named.borrow().get(model).and_then(|n| n.newest());
     if !site.has(Mechanism::Reports) || upstream.weights(model) >= newest {
         return;
     }
-    if let Some(question) = Question::begin(upstream) {
-        ntex::rt::spawn(watch(site.clone(), question));
+    if let Some(query) = Query::begin(upstream) {
+        ntex::rt::spawn(watch(site.clone(), query));
     }
 }
 
-/// Keeps an engine closed for this host while it reports a change.
-async fn watch(site: Rc<Site>, question: Question) {
-    let upstream = &question.0;
+/// Keeps an engine closed at this host while it reports a change of weights.
+async fn watch(site: Rc<Site>, query: Query) {
+    let upstream = &query.0;
     let begun = site.now();
     let mut pause = LAG;
     let mut looks = 0;
-    let mut own = Duration::ZERO;
+    let mut closed_until = Duration::ZERO;
     let why = loop {
-        own = own.max(site.now() + pause + ANSWER);
-        upstream.closed.set(upstream.closed.get().max(Some(own)));
+        closed_until = closed_until.max(site.now() + pause + ANSWER);
+        upstream.closed.set(upstream.closed.get().max(Some(closed_until)));
         tokio::time::sleep(pause).await;
         looks += 1;
         match ask_once(upstream).await {
-            // The holder of the duty has told meanwhile.
-            _ if upstream.closed.get().is_none() => break "told open",
-            Ok(report) if report.busy && site.now() - begun < WATCHED => {
+            // The rollout leader has meanwhile sent notice that it is open.
+            _ if upstream.closed.get().is_none() => break "notified open",
+            Ok(report) if report.busy && site.now() - begun < MAX_WATCH => {
                 pause = (pause * 2).min(MAX_INTERVAL);
             }
             Ok(report) => {
@@ -151,28 +161,28 @@
             Err(_) => break "no report",
         }
     };
-    // The holder of the duty may have told more.
-    if upstream.closed.get().is_some_and(|until| until <= own) {
+    // A notice of the rollout leader may have set a later time: that stays.
+    if upstream.closed.get().is_some_and(|until| until <= closed_until) {
         upstream.closed.set(None);
     }
     tracing::info!(target: "weights", upstream = %upstream.life, looks, why,
         ms = (site.now() - begun).as_millis() as u64, "engine used again");
 }
 
-/// Whether `upstream` still answers when it is asked. One whose stream is
-/// silent may have put that back behind others.
+/// Whether `upstream` still answers queries. An engine whose stream is silent may
+/// only have suspended that stream in favour of others.
 pub async fn answers(upstream: &Upstream) -> bool {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
     Caller::new(addr).call(&engine::report(), &headers, ANSWER).await.is_ok()
 }
 
-/// Whether another life answers `question` at the address of `upstream`; `None`
-/// if nothing does.
-pub async fn is_replaced(upstream: &Upstream, question: &Call) -> Option<bool> {
+/// Whether another incarnation answers the call `probe` at the address of
+/// `upstream`; `None` if there is no answer.
+pub async fn is_replaced(upstream: &Upstream, probe: &Call) -> Option<bool> {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    match Caller::new(addr).call(question, &headers, ANSWER).await {
+    match Caller::new(addr).call(probe, &headers, ANSWER).await {
         Ok(reply) if reply.status == MISDIRECTED => Some(true),
         Ok(reply) if reply.status == 200 => Some(
             engine::parse_report(&reply.body)
@@ -186,7 +196,7 @@
     }
 }
 
-/// The version of `model` that `upstream` reports.
+/// The version of `model` that `upstream` reports; `None` without a report.
 async fn served(upstream: &Upstream, model: &str) -> Option<u64> {
     match ask_once(upstream).await {
         Ok(report) => report.weights.iter().find(|w| w.model == model).map(|w| w.version),
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -279,9 +279,9 @@
         }
     }
 
-    /// Whether one more send is allowed by all but the retry budget: the
-    /// quarantine, the deadline, and the limits on attempts. Only the latter do
-    /// not apply to the first send.
+    /// Whether one more send is allowed: checks the quarantine, the deadline, the
+    /// failed connects and, for repeated sends, the route's limits. The retry
+    /// budget is checked elsewhere.
     fn may_send(&self) -> Result<(), Refusal> {
         if let Some(left) = poison::refuses(&self.site, self.fingerprint, self.id()) {
             return Err(match self.may_have_run {
--- a/crates/router/src/proxy/storelink.rs
+++ b/crates/router/src/proxy/storelink.rs
@@ -1,4 +1,5 @@
-//! Calls to the platform's store that are repeated until they work.
+//! Calls to the platform's store, with pauses between failed ones and a check that
+//! answers are from the store's current era.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,21 +9,23 @@
 use super::site::Site;
 use super::storeclient::{CallError, Caller, Reply};
 
-/// Time for an answer beyond what the store was asked to wait.
+/// Time-out of an answer, in addition to the time that the call asks to wait.
 pub const ANSWER: Duration = Duration::from_millis(1_500);
 
-/// An answer that takes longer shows that the store is not sound: it takes a
+/// An answer that takes longer counts as a store error: usually an answer takes a
 /// few milliseconds.
 pub const SLOW: Duration = Duration::from_millis(150);
 
-/// First and longest pause after a call that failed.
+/// Pause after the first failed call; doubled after each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
+/// Longest such pause.
 const MAX_PAUSE: Duration = Duration::from_millis(900);
 
-/// Newest records of a list, by key.
+/// The newest record of each key, from a complete list.
 pub type Listed = HashMap<String, Vec<u8>>;
 
-/// The state of one way to the store.
+/// State of the calls to the store for one topic: whether they work, and how long
+/// to pause before the next one.
 pub struct Link {
     topic: &'static str,
     down: bool,
@@ -30,25 +33,25 @@
 }
 
 impl Link {
-    /// A way to the records of `topic`, which nothing is wrong with yet.
+    /// State for calls on `topic`, before the first call.
     pub fn new(topic: &'static str) -> Self {
         Self { topic, down: false, pause: FIRST_PAUSE }
     }
 
-    /// A call worked; true if the one before did not.
+    /// Records that a call succeeded; true if the one before had failed.
     pub fn up(&mut self) -> bool {
         self.pause = FIRST_PAUSE;
         let was_down = std::mem::replace(&mut self.down, false);
         if was_down {
-            tracing::info!(target: "store", topic = self.topic, "store regained");
+            tracing::info!(target: "store", topic = self.topic, "store reachable again");
         }
         was_down
     }
 
-    /// A call failed; how long to pause.
+    /// Records that a call failed; returns how long to pause before the next.
     pub fn failed(&mut self, why: &str) -> Duration {
         if !std::mem::replace(&mut self.down, true) {
-            tracing::warn!(target: "store", topic = self.topic, why, "store lost");
+            tracing::warn!(target: "store", topic = self.topic, why, "store unreachable");
         }
         let pause = self.pause;
         self.pause = (pause * 2).min(MAX_PAUSE);
@@ -56,7 +59,8 @@
     }
 }
 
-/// Makes a call; an answer of an earlier era of the store is none.
+/// Makes a call. An answer of an earlier era, from before the store was last
+/// restored from a copy, is an error.
 pub async fn call(
     site: &Site,
     caller: &mut Caller,
@@ -66,11 +70,13 @@
     let reply = caller.call(call, &[], limit).await.map_err(|e: CallError| e.to_string())?;
     match site.note_era(reply.era) {
         true => Ok(reply),
-        false => Err(format!("answer of era {}, before the store's last return", reply.era)),
+        false => {
+            Err(format!("answer of era {}, from before the store was last restored", reply.era))
+        }
     }
 }
 
-/// Writes a record for the hosts until the store has it.
+/// Writes a record to the hosts' topic; retries until the store has accepted it.
 pub async fn write(site: &Site, record: &Record) {
     let write = store::write(store::HOSTS, record);
     let mut link = Link::new(store::HOSTS);
--- a/crates/router/src/proxy/stores.rs
+++ b/crates/router/src/proxy/stores.rs
@@ -1,4 +1,4 @@
-//! The stores of prompt caches as this host sees them.
+//! The cache stores, and this host's index of their contents.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,24 +8,24 @@
 use marjoram_core::holdings::Holdings;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One store.
+/// A cache store.
 pub struct Store {
-    /// Its name between hosts.
+    /// Hash of its address, by which hosts refer to it.
     pub key: u64,
     /// Its address.
     pub addr: SocketAddr,
-    /// What it keeps, according to its events.
+    /// Index of its contents, built from its events.
     pub kept: RefCell<Holdings>,
-    /// Its events are being read.
+    /// A task is reading its events.
     pub followed: Cell<bool>,
 }
 
-/// All stores, by address.
+/// All cache stores, by address.
 #[derive(Default)]
 pub struct Stores(RefCell<HashMap<SocketAddr, Rc<Store>>>);
 
 impl Stores {
-    /// The store at `addr`, entered if it is new.
+    /// The store at `addr`, added if it is new.
     pub fn at(&self, addr: SocketAddr) -> Rc<Store> {
         let mut all = self.0.borrow_mut();
         let new = || Store {
--- a/crates/router/src/proxy/traffic.rs
+++ b/crates/router/src/proxy/traffic.rs
@@ -1,27 +1,27 @@
-//! What this host sends and receives beside callers' requests, counted:
-//! datagrams to other hosts, and calls to engines' own interfaces.
+//! Counts the traffic that this host causes besides callers' requests: datagrams
+//! to other hosts, and calls to the engines' control interface.
 
 use std::cell::Cell;
 
-/// Sums since the process started.
+/// Totals since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Bytes of these, without the network's headers.
+    /// Bytes of these, without network headers.
     pub datagram_bytes: u64,
-    /// Datagrams that could not be sent, since the socket was full.
+    /// Datagrams that were not sent because the socket's buffer was full.
     pub unsent: u64,
     /// Calls to engines about their weights.
     pub calls: u64,
-    /// Those that brought no answer.
+    /// Those without an answer.
     pub failed: u64,
     /// Bytes of these calls, sent and received.
     pub call_bytes: u64,
 }
 
 impl Totals {
-    /// What was added since `before`.
+    /// The difference to the earlier totals `before`.
     pub fn since(self, before: Self) -> Self {
         Self {
             datagrams: self.datagrams - before.datagrams,
@@ -34,12 +34,12 @@
     }
 }
 
-/// Counts what one process sends and receives.
+/// Traffic counters of one process.
 #[derive(Debug, Default)]
 pub struct Traffic(Cell<Totals>);
 
 impl Traffic {
-    /// Counts a datagram of `bytes`, which was sent or not.
+    /// Counts a datagram of `bytes`; `sent` is false if it could not be sent.
     pub fn datagram(&self, bytes: usize, sent: bool) {
         let mut totals = self.0.get();
         match sent {
@@ -52,8 +52,7 @@
         self.0.set(totals);
     }
 
-    /// Counts a call to an engine that took `bytes` in both directions, and
-    /// was answered or not.
+    /// Counts a call to an engine with `bytes` in both directions together.
     pub fn call(&self, bytes: u64, answered: bool) {
         let mut totals = self.0.get();
         totals.calls += 1;
@@ -62,7 +61,7 @@
         self.0.set(totals);
     }
 
-    /// The sums so far.
+    /// The totals so far.
     pub fn totals(&self) -> Totals {
         self.0.get()
     }
