--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -12,7 +12,7 @@
 const HEAD_LIMIT: usize = 32 << 10;
 
 /// Status 101, after which the connection is no longer used for HTTP.
-const SWITCHING_PROTOCOLS: u16 = 101;
+const SWITCHING: u16 = 101;
 
 quick_error! {
     /// Why an answer could not be read.
@@ -39,9 +39,7 @@
 pub async fn read_head(conn: &mut Conn) -> Result<ResponseHead, ReadError> {
     loop {
         match http1::response_head(&mut conn.buf, HEAD_LIMIT)? {
-            Some(head)
-                if (100..200).contains(&head.status) && head.status != SWITCHING_PROTOCOLS =>
-            {
+            Some(head) if (100..200).contains(&head.status) && head.status != SWITCHING => {
                 continue;
             }
             Some(head) => return Ok(head),
--- a/crates/router/src/proxy/callers.rs
+++ b/crates/router/src/proxy/callers.rs
@@ -158,13 +158,13 @@
     match outcome {
         Outcome::Answered(status) => {
             site.counters.count("request.answered");
-            tracing::info!(target: "request", id, route, upstream, sends, config, status, ms, "request answered");
+            tracing::info!(target: "request", id, route, upstream, sends, config, status, ms, "answered");
         }
         Outcome::Refused(Refusal { status, retry, why, .. }) => {
             site.counters.count("request.refused");
             let retry_ms = retry.map(|r| r.as_millis() as u64);
             tracing::info!(target: "request", id, route, upstream, sends, config, status, ms,
-                retry_ms, why, "request refused");
+                retry_ms, why, "refused");
         }
         Outcome::Left => {
             site.counters.count("request.left");
--- a/crates/router/src/proxy/http1.rs
+++ b/crates/router/src/proxy/http1.rs
@@ -172,9 +172,9 @@
     Close,
 }
 
-/// How the body of a request is delimited. A request with more than one statement
-/// of its length is malformed: peers could disagree on where it ends (request
-/// smuggling).
+/// How the body of a request is delimited. A request whose length can be
+/// read in two ways is malformed: otherwise a request could be hidden in the body
+/// of another (request smuggling).
 pub fn request_framing(head: &RequestHead) -> Result<Framing, BadMessage> {
     match framing(&head.headers, head.minor)? {
         Some(framing) => Ok(framing),
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -37,7 +37,7 @@
 use super::site::{Broken, Site};
 use crate::clock;
 
-pub use detection::{hear_quarantined, refuses, take_quarantined, take_record};
+pub use detection::{hear_quarantined, refused_for, take_quarantined, take_record};
 pub use records::{keep, restore_records};
 
 /// Delay before an upstream is checked, in which this host notices all of its
@@ -65,7 +65,12 @@
 
 /// Records that a send to `upstream` ended by `failure`; true if that may be a
 /// crash, which is then checked in a task of its own.
-pub fn broke(site: &Rc<Site>, upstream: &Rc<Upstream>, failure: &Failure, request: Broken) -> bool {
+pub fn record_failed_send(
+    site: &Rc<Site>,
+    upstream: &Rc<Upstream>,
+    failure: &Failure,
+    request: Broken,
+) -> bool {
     let now = site.now();
     let in_service = site.fleet.get(&upstream.life).is_some() && !upstream.entry.borrow().leaving;
     if !matches!(failure, Failure::Closed(..)) || !in_service || upstream.is_closed(now) {
@@ -135,7 +140,7 @@
     match Conn::connect(addr, CONNECT_TIMEOUT).await {
         // An idle connection that is still open is to the same process, so that
         // has not crashed.
-        Ok(_) if upstream.pool.has_quiet(site.now()) => Some(false),
+        Ok(_) if upstream.pool.has_open_idle(site.now()) => Some(false),
         Ok(_) => match probe_call(site, upstream) {
             Some(call) => reports::is_replaced(upstream, &call).await,
             None => Some(false),
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -91,7 +91,7 @@
         let evicted = match admission {
             Admission::New(evicted) => evicted,
             Admission::Over if source == records::STORE => {
-                records::drop_record(site, request);
+                records::queue_removal(site, request);
                 continue;
             }
             Admission::Over | Admission::Known => continue,
@@ -111,10 +111,10 @@
         }
         if let Some(evicted) = evicted {
             tracing::warn!(target: "poison", fingerprint = %evicted, "quarantine full, entry evicted");
-            records::drop_record(site, evicted);
+            records::queue_removal(site, evicted);
         }
         if source != records::STORE {
-            records::keep_record(site, entry);
+            records::queue_write(site, entry);
         }
     }
 }
@@ -136,7 +136,7 @@
 
 /// For how long `request`, whose attempt is `id`, is still refused; `None` if it
 /// is not in quarantine.
-pub fn refuses(site: &Site, request: Fingerprint, id: &str) -> Option<Duration> {
+pub fn refused_for(site: &Site, request: Fingerprint, id: &str) -> Option<Duration> {
     let left = site.poison.quarantine.borrow().refuses(request, clock::wall())?;
     site.counters.count("poison.refused");
     tracing::info!(target: "poison", id, fingerprint = %request, left_s = left.as_secs(),
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -36,7 +36,7 @@
         let stored = listed.get(&format!("{KEY_PREFIX}{}", entry.request));
         let stored = stored.and_then(|v| serde_json::from_slice::<Quarantined>(v).ok());
         if stored.is_none_or(|stored| stored.repeats < entry.repeats) {
-            keep_record(site, entry);
+            queue_write(site, entry);
         }
     }
 }
@@ -47,14 +47,14 @@
 }
 
 /// Queues a new entry for writing, if this host is one of the writers.
-pub(super) fn keep_record(site: &Site, entry: Quarantined) {
+pub(super) fn queue_write(site: &Site, entry: Quarantined) {
     if ranks_within(site, WRITERS) {
         queue(site, entry.request, Some(entry));
     }
 }
 
 /// Queues the removal of the record of an entry that is no longer in force.
-pub(super) fn drop_record(site: &Site, request: Fingerprint) {
+pub(super) fn queue_removal(site: &Site, request: Fingerprint) {
     if ranks_within(site, 1) {
         queue(site, request, None);
     }
@@ -89,7 +89,7 @@
                 let expired = site.poison.quarantine.borrow_mut().expire(clock::wall());
                 for request in expired {
                     tracing::info!(target: "poison", fingerprint = %request, "quarantine expired");
-                    drop_record(&site, request);
+                    queue_removal(&site, request);
                 }
             }
         }
--- a/crates/router/src/proxy/pool.rs
+++ b/crates/router/src/proxy/pool.rs
@@ -47,7 +47,7 @@
     }
 
     /// Whether an idle connection is still open at `now`.
-    pub fn has_quiet(&self, now: Duration) -> bool {
+    pub fn has_open_idle(&self, now: Duration) -> bool {
         self.sweep(now);
         self.idle() > 0
     }
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -74,7 +74,7 @@
 }
 
 /// Queries `upstream` once, on a new connection.
-pub async fn ask_once(upstream: &Upstream) -> Result<Report, String> {
+pub async fn query_once(upstream: &Upstream) -> Result<Report, String> {
     let addr = upstream.entry.borrow().addr;
     ask(&mut Caller::new(addr), upstream).await
 }
@@ -82,7 +82,12 @@
 /// Handles the refusal by `upstream` of a request sent for the version `asked` of
 /// `model`: queries which version it serves, once for all requests of this host,
 /// and returns when that has been recorded.
-pub async fn refused(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str, asked: u64) {
+pub async fn handle_weights_refusal(
+    site: &Rc<Site>,
+    upstream: &Rc<Upstream>,
+    model: &str,
+    asked: u64,
+) {
     let Some(query) = Query::begin(upstream) else { return };
     let recorded = Weights { model: model.to_string(), version: asked };
     let (sender, receiver) = oneshot::channel();
@@ -126,7 +131,7 @@
 /// Handles the refusal of a request by `upstream` without a reason. If a newer
 /// version of `model` has been announced than it serves, it is most likely changing
 /// its weights: this host sends it no requests until it reports no change.
-pub fn busy(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str) {
+pub fn handle_unexplained_refusal(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str) {
     let newest = site.named.borrow().get(model).and_then(|n| n.newest());
     if !site.has(Mechanism::Reports) || upstream.weights(model) >= newest {
         return;
@@ -148,7 +153,7 @@
         upstream.closed.set(upstream.closed.get().max(Some(closed_until)));
         tokio::time::sleep(pause).await;
         looks += 1;
-        match ask_once(upstream).await {
+        match query_once(upstream).await {
             // The rollout leader has meanwhile sent notice that it is open.
             _ if upstream.closed.get().is_none() => break "notified open",
             Ok(report) if report.busy && site.now() - begun < MAX_WATCH => {
@@ -198,7 +203,7 @@
 
 /// The version of `model` that `upstream` reports; `None` without a report.
 async fn served(upstream: &Upstream, model: &str) -> Option<u64> {
-    match ask_once(upstream).await {
+    match query_once(upstream).await {
         Ok(report) => report.weights.iter().find(|w| w.model == model).map(|w| w.version),
         Err(why) => {
             tracing::debug!(target: "weights", upstream = %upstream.life, why, "no report");
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -83,6 +83,7 @@
     may_have_run: bool,
     /// Sends so far, without those that could not connect.
     pub sends: u32,
+    /// Connects that failed.
     failed_connects: u32,
     /// How long the last send waited for the head of its answer.
     waited: Duration,
@@ -90,15 +91,15 @@
     begun: Duration,
     /// An upstream may have crashed while this request was in flight there.
     crashed: bool,
-    /// It has waited for the analysis of crashes at which it was in flight.
+    /// It has been held back until crashes at which it was in flight are analysed.
     withheld: Cell<bool>,
     /// The upstream of the last send.
     pub last: Option<Life>,
 }
 
 impl Exchange {
-    /// Admits `request`: finds its route, workspace and service, and charges it to
-    /// the workspace's quota.
+    /// Admits or refuses `request`: finds its route, workspace and service, and
+    /// charges it to the workspace's quota.
     pub fn new(site: &Rc<Site>, request: Request) -> Result<Self, Refusal> {
         let Some(catalog) = site.catalog() else {
             return Err(Refusal::not_run("no configuration yet", Duration::from_millis(500)));
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Records that the answer was complete: the request crashes no upstream.
+    /// Records that the answer was complete, so that the request is no longer
+    /// suspected of earlier crashes.
     pub fn ended_well(&self) {
         self.site.poison.ended_well(self.fingerprint, self.site.now());
     }
@@ -216,11 +218,11 @@
         let id = self.request.asked.attempt.as_ref().map(|id| xxh3_64(id.as_bytes()));
         let request =
             Broken { request: self.fingerprint, attempt: id.unwrap_or_else(rand::random), ran };
-        self.crashed |= poison::broke(&self.site, upstream, failure, request);
+        self.crashed |= poison::record_failed_send(&self.site, upstream, failure, request);
     }
 
-    /// Sends the request until an upstream answers, to as many upstreams as its
-    /// route allows. `resumed` is the last event of this answer that the caller
+    /// Sends the request until an upstream answers, to several upstreams if its
+    /// route allows it. `resumed` is the last event of this answer that the caller
     /// already has.
     pub async fn open(&mut self, resumed: Option<u64>) -> Result<Answer, Refusal> {
         let mut failed: Option<(Opened, BytesMut)> = None;
@@ -275,7 +277,7 @@
         if !self.withheld.replace(true) {
             self.site.counters.count("poison.withheld");
             tracing::info!(target: "poison", id = self.id(), fingerprint = %self.fingerprint,
-                sends = self.sends, "request delayed until crashes at which it was in flight are analysed");
+                sends = self.sends, "waits until crashes at which it was in flight are analysed");
         }
     }
 
@@ -283,7 +285,7 @@
     /// failed connects and, for repeated sends, the route's limits. The retry
     /// budget is checked elsewhere.
     fn may_send(&self) -> Result<(), Refusal> {
-        if let Some(left) = poison::refuses(&self.site, self.fingerprint, self.id()) {
+        if let Some(left) = poison::refused_for(&self.site, self.fingerprint, self.id()) {
             return Err(match self.may_have_run {
                 true => Refusal::with_status(502, QUARANTINED),
                 false => Refusal::quarantined(left),
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -53,7 +53,7 @@
 /// link alone would allow: all engines share that link.
 const SHARED_LINK_FACTOR: f64 = 2.0;
 
-/// The upstream of one send, and the parameters of that send.
+/// The upstream chosen for one send, and the parameters of that send.
 pub struct Chosen {
     /// The upstream.
     pub upstream: Rc<Upstream>,
@@ -70,7 +70,7 @@
     /// Address from which the engine copies shared prompt parts.
     pub fetch: Option<SocketAddr>,
     /// Address of the cache store to which the engine saves shared prompt parts
-    /// once it has prefilled them.
+    /// after it has prefilled them.
     pub save: Option<SocketAddr>,
     /// The cache at the engine that holds the shared parts of this request.
     pub cache: CacheId,
@@ -125,7 +125,8 @@
 /// been announced.
 ///
 /// Engines cannot be ordered to change weights while the platform's store is
-/// unavailable. So only time without a store outage counts, in one stretch.
+/// unavailable. So the limit applies to one period without a store outage; the
+/// time before an outage is not added to the time after it.
 struct ReplacedWeightsLimit {
     /// The versions announced for the model, and when.
     announced: Named,
@@ -173,9 +174,9 @@
     /// told from the others that were in flight there.
     pub(super) fn choose(&self, resumed: bool) -> Result<Chosen, Refusal> {
         let all = self.candidates();
-        let isolated = (self.crashed || self.site.poison.suspects(self.fingerprint))
-            .then(|| self.choose_among(&self.isolated_candidates(&all), resumed));
-        match isolated {
+        let separate = (self.crashed || self.site.poison.suspects(self.fingerprint))
+            .then(|| self.choose_among(&self.separate_candidates(&all), resumed));
+        match separate {
             Some(Ok(chosen)) => Ok(chosen),
             // None of those can take the request: availability comes first.
             Some(Err(_)) | None => self.choose_among(&all, resumed),
@@ -184,7 +185,7 @@
 
     /// Those of `all` assigned to this request as one that was in flight at a
     /// crash. Other requests of that crash are mostly assigned other upstreams.
-    fn isolated_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
+    fn separate_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
         let places: Vec<u64> = all.iter().map(|u| u.place).collect();
         poison::apart(self.fingerprint, &places).into_iter().map(|i| all[i].clone()).collect()
     }
@@ -221,8 +222,8 @@
     }
 
     /// Connections to one upstream that this host may have in use: an equal share
-    /// of the service's limit for all hosts, and at least two, so that each host
-    /// can use each upstream however many hosts there are.
+    /// of the service's limit for all hosts, but at least two, also where there are
+    /// many hosts.
     fn connection_share(&self) -> u32 {
         let all = self.catalog.services.get(&self.service).map_or(u32::MAX, |s| s.connections);
         (all / self.site.peers.count() as u32).max(2)
@@ -313,7 +314,7 @@
     /// Where to try to copy shared parts that no engine or store is known to hold,
     /// if enough of them are missing: from the preferred engine of their prefix
     /// path, or, if that is the engine chosen, from the cache store to which
-    /// they are saved. Cache updates may be late or lost, so this may succeed.
+    /// they are saved. This host's index of their contents may be incomplete.
     fn likely_source(
         &self,
         prompt: &Prompt,
@@ -341,6 +342,7 @@
         self.stores().max_by_key(rank).map(|s| s.addr)
     }
 
+    /// The limit on replaced weights of `model` at this moment.
     fn replaced_weights_limit(&self, model: &str) -> ReplacedWeightsLimit {
         let now = self.site.now();
         ReplacedWeightsLimit {
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -44,7 +44,7 @@
         CacheId::new(&self.salt(weights))
     }
 
-    /// The values that the router adds to the request as headers.
+    /// The values that the router adds to the request in headers of its own.
     fn envelope(&self, chosen: &Chosen, resumed: Option<u64>) -> Envelope {
         let salt = chosen.weights.map(|version| self.salt(version));
         let priority = self.workspace.as_ref().and_then(|w| w.priority);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// The request as it is sent: the caller's headers that concern more than
-    /// one connection, those of `envelope`, and the body.
+    /// The request as it is sent: the caller's end-to-end headers, with the router's
+    /// own replaced by those of `envelope`, and the body.
     fn encode(&self, envelope: &Envelope) -> Bytes {
         let head = &self.request.head;
         let mut writer = RequestWriter::new(&head.method, &head.target);
@@ -95,7 +95,7 @@
             salt = envelope.salt, fetch = envelope.fetch, save = envelope.save,
             input = prompt.map(|p| p.input), unread = chosen.prefill, ahead,
             running = upstream.load().running, wait_ms = chosen.expected_wait.as_millis() as u64,
-            left_ms = self.left().as_millis() as u64, "upstream chosen");
+            left_ms = self.left().as_millis() as u64, "placed");
         self.sends += 1;
         self.last = Some(upstream.life.clone());
         self.tried.push(upstream.life.clone());
@@ -104,8 +104,8 @@
             site.at(begun + self.first_byte_timeout(chosen.expected_wait).min(chosen.begin_within));
         let id = self.request.asked.attempt.clone();
         let method = self.request.head.method.clone();
-        // From here on the request may have reached the upstream, also if
-        // this is dropped.
+        // From here on the upstream may have received the request, also if this
+        // future is dropped.
         let may_have_run_before = std::mem::replace(&mut self.may_have_run, true);
         let sent = attempt::send(&site, upstream, &method, id.as_deref(), &encoded);
         let mut sent = pin!(sent);
@@ -203,7 +203,10 @@
                 let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::NoAnswer };
                 match reported {
                     Some(version) => upstream.states(&prompt.model, version),
-                    None => reports::refused(&self.site, &upstream, &prompt.model, asked).await,
+                    None => {
+                        reports::handle_weights_refusal(&self.site, &upstream, &prompt.model, asked)
+                            .await
+                    }
                 }
                 match upstream.weights(&prompt.model) {
                     Some(version) if version != asked => Sent::OtherWeights,
@@ -217,7 +220,7 @@
             _ => {
                 upstream.health.borrow_mut().refuses(now, REFUSAL_PAUSE);
                 if let Some(prompt) = &self.request.asked.prompt {
-                    reports::busy(&self.site, &upstream, &prompt.model);
+                    reports::handle_unexplained_refusal(&self.site, &upstream, &prompt.model);
                 }
                 opened.finish(now);
                 Sent::NoAnswer
@@ -233,9 +236,9 @@
         Some((opened, body))
     }
 
-    /// Checks an answer that has begun. Failures are read whole, since another
-    /// upstream may still succeed; a success without the seal that an upstream
-    /// puts on its answers is dropped.
+    /// Checks an answer that has begun. A server error is read whole, to be passed
+    /// on if no other upstream succeeds. A success without the header with which
+    /// upstreams seal their answers is dropped.
     async fn check_answer(&mut self, opened: Opened, flight: Flight) -> Sent {
         let upstream = opened.upstream.clone();
         let status = opened.head.status;
@@ -279,7 +282,7 @@
 
 /// The outcome of one send.
 pub(super) enum Sent {
-    /// An answer, with its body still to come.
+    /// An answer that has begun; its body is still to be read.
     Open(Opened, Flight),
     /// A failure that the upstream answered, with its whole body.
     Failed(Opened, BytesMut),
