--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -39,9 +39,7 @@
 pub async fn read_head(conn: &mut Conn) -> Result<ResponseHead, ReadError> {
     loop {
         match http1::response_head(&mut conn.buf, HEAD_LIMIT)? {
-            Some(head) if (100..200).contains(&head.status) && head.status != SWITCHING => {
-                continue;
-            }
+            Some(head) if (100..200).contains(&head.status) && head.status != SWITCHING => continue,
             Some(head) => return Ok(head),
             None if conn.fill().await? == 0 => return Err(ReadError::Closed),
             None => {}
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -61,8 +61,8 @@
 }
 
 /// Admits or refuses a request of `workspace`; the charge if it is admitted and
-/// the workspace has a quota. When only a part is
-/// admitted, a hash of the attempt's id decides, the same on every host.
+/// the workspace has a quota. When only a part is admitted, a hash of the attempt's
+/// id decides, which is the same on every host.
 pub fn admit(site: &Site, workspace: &Workspace, asked: &Asked) -> Result<Option<Charge>, Refusal> {
     let Some(quota) = workspace.quota else { return Ok(None) };
     if !site.recalled.get() {
