--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,22 +1,23 @@
-//! Whether to take a request on, or on again, under load.
+//! Admission control: whether to accept a request, or retry one, under load.
 //!
-//! - [`Pace`]: how long an engine takes per prompt token ahead of a request,
-//!   learnt from when first tokens came; it turns the work queued at an
-//!   engine into an expected wait.
-//! - [`Budget`]: how many second attempts may be made, as a share of the
-//!   first ones, so that failing engines are not loaded further by retries.
+//! - [`Pace`]: the time an engine takes per prompt token queued ahead of a
+//!   request, learned from the arrival times of first tokens. It converts the
+//!   work queued at an engine into an expected wait.
+//! - [`Budget`]: how many retries are allowed, as a fraction of the first
+//!   attempts, so that retries don't add load to engines that fail.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::time::Duration;
 
 use crate::ids::Tokens;
 
-/// Fewest tokens a sample is taken over: below, fixed costs dominate.
-const SAMPLE_TOKENS: u64 = 256;
-/// Weight of a new sample, as one part in this many.
+/// Minimum number of tokens for a sample: below that, fixed costs dominate.
+const MIN_SAMPLE_TOKENS: u64 = 256;
+/// Inverse weight of a new sample: the moving average takes one part in this many
+/// from it.
 const SMOOTHING: u64 = 8;
 
-/// Nanoseconds an engine takes per prompt token, smoothed.
+/// Moving average of the nanoseconds that an engine takes per prompt token.
 ///
 /// ```
 /// use std::time::Duration;
@@ -31,26 +32,28 @@
 pub struct Pace(AtomicU64);
 
 impl Pace {
-    /// No samples yet.
+    /// Creates an estimate without samples.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in that a first token came `took` after a request was sent with
-    /// `ahead` prompt tokens, its own included, to be read before it.
+    /// Records that the first token arrived `took` after a request was sent, with
+    /// `ahead` prompt tokens to prefill before it, its own included.
     pub fn observe(&self, ahead: Tokens, took: Duration) {
-        if ahead.0 < SAMPLE_TOKENS {
+        if ahead.0 < MIN_SAMPLE_TOKENS {
             return;
         }
         let sample = (took.as_nanos() as u64 / ahead.0).max(1);
-        let smooth = |old: u64| match old {
+        let smooth = |average: u64| match average {
             0 => sample,
-            _ => (old * (SMOOTHING - 1) + sample) / SMOOTHING,
+            _ => (average * (SMOOTHING - 1) + sample) / SMOOTHING,
         };
-        let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |old| Some(smooth(old)));
+        let _ = self
+            .0
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |average| Some(smooth(average)));
     }
 
-    /// Expected wait behind `ahead` tokens; `None` before any sample.
+    /// Expected wait behind `ahead` tokens; `None` before the first sample.
     pub fn wait(&self, ahead: Tokens) -> Option<Duration> {
         match self.0.load(Ordering::Relaxed) {
             0 => None,
@@ -59,11 +62,12 @@
     }
 }
 
-/// Thousandths of an attempt, so that shares are exact.
-const UNIT: i64 = 1000;
+/// Units per attempt: the budget is counted in thousandths of an attempt, so that
+/// the arithmetic on fractions is exact.
+const MILLI_ATTEMPTS: i64 = 1000;
 
-/// A budget of second attempts: each first attempt earns a share of one, up
-/// to a reserve that is full at the start.
+/// A retry budget: each first attempt earns a fraction of a retry, up to a
+/// reserve that is full at the start.
 ///
 /// ```
 /// use marjoram_core::admission::Budget;
@@ -75,28 +79,29 @@
 /// ```
 #[derive(Debug)]
 pub struct Budget {
-    left: AtomicI64,
+    available: AtomicI64,
     share: i64,
     reserve: i64,
 }
 
 impl Budget {
-    /// `share` thousandths of an attempt earned by each request, and a
-    /// `reserve` of whole attempts.
+    /// Creates a budget to which each request adds `share` thousandths of a
+    /// retry, with a `reserve` of whole retries.
     pub fn new(share: u32, reserve: u32) -> Self {
-        let reserve = i64::from(reserve) * UNIT;
-        Self { left: AtomicI64::new(reserve), share: i64::from(share), reserve }
+        let reserve = i64::from(reserve) * MILLI_ATTEMPTS;
+        Self { available: AtomicI64::new(reserve), share: i64::from(share), reserve }
     }
 
-    /// Counts a first attempt.
+    /// Adds the fraction earned by one first attempt.
     pub fn earn(&self) {
-        let earn = |left: i64| Some((left + self.share).min(self.reserve));
-        let _ = self.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
+        let earn = |available: i64| Some((available + self.share).min(self.reserve));
+        let _ = self.available.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
     }
 
-    /// Takes one second attempt, if the budget has it.
+    /// Takes one retry from the budget; returns whether one was available.
     pub fn take(&self) -> bool {
-        let take = |left: i64| (left >= UNIT).then_some(left - UNIT);
-        self.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).is_ok()
+        let take =
+            |available: i64| (available >= MILLI_ATTEMPTS).then_some(available - MILLI_ATTEMPTS);
+        self.available.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take).is_ok()
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,19 +1,18 @@
 //! Operator configuration, as read from the log service's `config` stream.
 //!
-//! Operators publish [`Record`]s; each record's log offset is its version.
-//! A [`Config`] applies records strictly in offset order and never goes
-//! back: a record at or below the offset in force is ignored, so replaying
-//! the stream or hearing a record twice changes nothing, and every router
-//! that has read up to the same offset holds the same configuration. A
-//! record that does not fit (a workspace naming an unknown template) is
-//! rejected: the offset advances, the configuration stays as it was. A
-//! record beyond a gap is refused, so a configuration is always exactly
-//! what some prefix of the stream makes it.
+//! Operators publish [`Record`]s; each record's log offset is its version. A
+//! [`Config`] applies records strictly in offset order and never goes back: a
+//! record at or below the current offset is ignored, so replaying the stream or
+//! receiving a record twice changes nothing, and all routers that have read up to
+//! the same offset have the same configuration. An invalid record (such as a
+//! workspace that names an unknown template) is rejected: the offset advances,
+//! the configuration stays as it was. A record beyond a gap is not applied, so a
+//! configuration is always the exact result of some prefix of the stream.
 //!
-//! The log service keeps records for a limited time, so routers also keep
-//! snapshots there: a serialised [`Config`], which is the whole effect of the
-//! stream up to its offset. [`Config::restore`] takes one only when it is
-//! ahead, so a stale snapshot never takes a configuration back.
+//! The log service keeps records for a limited time, so routers also store
+//! snapshots there: a serialised [`Config`], which is the complete result of the
+//! stream up to its offset. [`Config::restore`] applies a snapshot only if it is
+//! ahead, so a stale snapshot never reverts a configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -36,17 +35,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase", deny_unknown_fields)]
 pub enum Record {
-    /// Defines or replaces a template; workspaces made from it follow.
+    /// Defines or replaces a template; workspaces based on it change with it.
     Template {
         /// The template's name.
         name: String,
-        /// The routing policy it names.
+        /// The routing policy to use.
         policy: PolicyName,
         /// Its routing parameters.
         #[serde(default)]
         params: Params,
     },
-    /// Creates or replaces a workspace made from a template.
+    /// Creates or replaces a workspace based on a template.
     Workspace {
         /// The workspace.
         id: WorkspaceId,
@@ -61,9 +60,9 @@
         /// The workspace.
         id: WorkspaceId,
     },
-    /// Names the weights every engine is to serve from now on.
+    /// Sets the weights version that every engine is to serve from now on.
     Weights {
-        /// Version of the weights; a version below the one named is rejected.
+        /// Version of the weights; a version below the current one is rejected.
         version: ModelVersion,
     },
 }
@@ -71,7 +70,7 @@
 /// A template as configured.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Template {
-    /// The routing policy it names.
+    /// The routing policy to use.
     pub policy: PolicyName,
     /// Its routing parameters.
     pub params: Params,
@@ -86,42 +85,43 @@
     pub params: Params,
 }
 
-/// What the request path needs of a workspace: its policy and parameters.
+/// What request processing needs of a workspace: its policy and parameters.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Routing {
-    /// The policy in force.
+    /// The policy to use.
     pub policy: PolicyName,
-    /// The parameters, overrides applied.
+    /// The parameters, with overrides applied.
     pub params: Params,
 }
 
-/// What became of a record handed to [`Config::apply`].
+/// Result of passing a record to [`Config::apply`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
     /// The record changed the configuration.
     Accepted,
-    /// The record was at or below the offset in force.
+    /// The record was at or below the current offset.
     Stale,
-    /// The record lies beyond records not yet applied; nothing changed.
-    /// The follower must read again from `expected`.
+    /// Records between the current offset and this one are missing; nothing
+    /// changed. The caller must read again from `expected`.
     Gap {
         /// The offset that must be applied next.
         expected: Offset,
     },
-    /// The record did not fit; the configuration is unchanged.
+    /// The record was invalid; the configuration is unchanged.
     Rejected(String),
 }
 
-/// The configuration in force: templates and workspaces up to an offset.
+/// The current configuration: templates and workspaces as of an offset.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Config {
-    /// Offset of the last record applied, accepted or rejected.
+    /// Offset of the last record processed, whether accepted or rejected.
     pub offset: Option<Offset>,
     /// Templates by name.
     pub templates: BTreeMap<String, Template>,
     /// Workspaces by id.
     pub workspaces: BTreeMap<WorkspaceId, Workspace>,
-    /// Weights every engine is to serve, once an operator has named them.
+    /// Weights version that every engine is to serve, once an operator has set
+    /// one.
     #[serde(default)]
     pub weights: Option<ModelVersion>,
     #[serde(skip)]
@@ -134,7 +134,7 @@
         Self::default()
     }
 
-    /// Applies `record` found at `offset`, only if `offset` is newer.
+    /// Applies `record`, read at `offset`, if it is the next one expected.
     ///
     /// ```
     /// use marjoram_core::config::{Applied, Config, Record};
@@ -146,8 +146,8 @@
     /// assert_eq!(config.apply(Offset(0), &record), Applied::Stale);
     /// ```
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Applied {
-        if let Some(early) = self.check(offset) {
-            return early;
+        if let Some(out_of_order) = self.check(offset) {
+            return out_of_order;
         }
         self.offset = Some(offset);
         let outcome = match record {
@@ -172,7 +172,7 @@
                 Applied::Accepted
             }
             Record::Weights { version } if Some(*version) < self.weights => {
-                Applied::Rejected(format!("weights version {version} is below the one named"))
+                Applied::Rejected(format!("weights version {version} is below the current version"))
             }
             Record::Weights { version } => {
                 self.weights = Some(*version);
@@ -185,16 +185,17 @@
         outcome
     }
 
-    /// Passes over the record at `offset`, which could not be decoded.
+    /// Skips the record at `offset`, which could not be decoded.
     pub fn skip(&mut self, offset: Offset, why: String) -> Applied {
-        if let Some(early) = self.check(offset) {
-            return early;
+        if let Some(out_of_order) = self.check(offset) {
+            return out_of_order;
         }
         self.offset = Some(offset);
         Applied::Rejected(why)
     }
 
-    /// Takes `snapshot` over if it is ahead; whether it was.
+    /// Replaces the configuration with `snapshot` if that is ahead; returns
+    /// whether it was.
     ///
     /// ```
     /// use marjoram_core::config::Config;
@@ -220,7 +221,7 @@
         self.offset.map(|o| Offset(o.0 + 1)).unwrap_or(Offset(0))
     }
 
-    /// `Stale` or `Gap` when `offset` is not the next one due.
+    /// Returns `Stale` or `Gap` if `offset` is not the next one expected.
     fn check(&self, offset: Offset) -> Option<Applied> {
         let expected = self.expected();
         match offset {
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -3,10 +3,10 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// An error raised while reading ids, configuration or records.
+    /// Error from parsing ids, configuration or records.
     #[derive(Debug)]
     pub enum Error {
-        /// A text value could not be read as the named kind.
+        /// A text could not be parsed as the named kind.
         Parse(kind: &'static str, text: String, why: &'static str) {
             display("cannot read {text:?} as {kind}: {why}")
         }
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,21 +1,21 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! Only whole events are passed on, so a stream that breaks in the middle of
-//! an event can be continued by another upstream at the next one, and what
-//! the caller has is always a number of whole events.
+//! Only complete events are forwarded, so a stream that breaks in the middle of
+//! an event can be continued from another upstream at the next one, and the
+//! caller always has a whole number of events.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// One event with the blank line that ends it.
+/// One event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, if it has one.
+    /// Value of the `id` field, if it is present and a number.
     pub id: Option<u64>,
-    /// Its bytes as they came.
+    /// The bytes as received.
     pub bytes: Bytes,
 }
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes of a stream and returns complete events.
 ///
 /// ```
 /// use marjoram_core::events::Splitter;
@@ -28,33 +28,34 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
-    /// Bytes from the start known to hold no end of an event.
+    /// Number of bytes at the start of the buffer that are known to contain no
+    /// end of an event.
     scanned: usize,
 }
 
 impl Splitter {
-    /// An empty splitter.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Whether no part of an event is left over.
+    /// Whether the buffer holds no incomplete event.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Forgets what is left over: the rest of it will not come.
+    /// Discards the incomplete event in the buffer: the rest of it will not
+    /// arrive.
     pub fn clear(&mut self) {
         self.buf.clear();
         self.scanned = 0;
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.end()?;
         self.scanned = 0;
@@ -63,7 +64,7 @@
         Some(Event { id, bytes })
     }
 
-    /// Where the first whole event ends.
+    /// End of the first complete event in the buffer.
     fn end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(2);
         for at in from..self.buf.len() {
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -1,34 +1,38 @@
-//! Reading one engine's cache events into a picture.
+//! Applies one engine's cache events to the cache index.
 //!
-//! Events are numbered within one incarnation of the engine, from 0. A read
-//! asks from a [`Cursor`] on and is answered with the engine's present life;
-//! when that shows another incarnation, the numbers asked for meant nothing
-//! there, so the answer's events are left and the new incarnation is read
-//! from its beginning. New weights keep the numbering and clear the picture.
+//! Events are numbered from 0 within one incarnation of the engine. A read
+//! requests the events from a [`Cursor`] on, and the response names the engine's
+//! current incarnation. If that is not the cursor's, the requested numbers refer
+//! to the earlier incarnation, so the events in the response are discarded and
+//! the new incarnation is read from its start. New weights keep the numbering but
+//! clear the index.
 
 use crate::cache::{Life, Picture, Slot};
 use crate::wire::{CacheEvents, EventKind};
 
-/// Where an engine's events have been read up to, and in which life.
+/// Position up to which an engine's events have been read, and the incarnation
+/// and weights it refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cursor {
-    /// The life the picture's entries were learnt under.
+    /// Incarnation and weights version under which the index entries were
+    /// recorded.
     pub life: Life,
-    /// Number of the next event to read.
+    /// Sequence number of the next event to read.
     pub next: u64,
 }
 
-/// What one read came to.
+/// Statistics of one read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Taken {
     /// Events applied.
     pub events: u64,
-    /// Gaps passed in the numbering: events lost.
+    /// Gaps in the sequence numbers; each means lost events.
     pub gaps: u64,
 }
 
-/// Applies `read`, asked for from `cursor` on (from 0 without one), to the
-/// entries of `slot`; the cursor to read on from.
+/// Applies the events in `read`, which were requested from `cursor` on (from 0
+/// without one), to the index entries of `slot`. Returns the cursor for the next
+/// read.
 ///
 /// ```
 /// use marjoram_core::cache::{Picture, Slot};
@@ -55,20 +59,21 @@
 ) -> (Cursor, Taken) {
     let life = Life { incarnation: read.incarnation, version: read.version };
     match cursor {
-        Some(known) if known.life.incarnation != life.incarnation => {
+        Some(previous) if previous.life.incarnation != life.incarnation => {
             picture.clear(slot);
             picture.begin(slot, life);
             return (Cursor { life, next: 0 }, Taken::default());
         }
-        // The same life may have been cleared meanwhile, as by an engine
-        // taken for dead: begin is idempotent.
+        // The entries of the same incarnation may have been cleared in the
+        // meantime, for example because the engine was considered dead. `begin`
+        // is idempotent, so it is called for each read.
         _ => picture.begin(slot, life),
     }
-    let mut next = cursor.map(|known| known.next).unwrap_or(0);
-    let mut taken = Taken::default();
+    let mut next = cursor.map(|previous| previous.next).unwrap_or(0);
+    let mut stats = Taken::default();
     for event in &read.events {
-        taken.gaps += u64::from(event.seq != next);
-        taken.events += 1;
+        stats.gaps += u64::from(event.seq != next);
+        stats.events += 1;
         next = event.seq + 1;
         match event.kind {
             EventKind::Stored => picture.stored(slot, life, &event.blocks),
@@ -79,5 +84,5 @@
             }
         }
     }
-    (Cursor { life, next: next.max(read.next) }, taken)
+    (Cursor { life, next: next.max(read.next) }, stats)
 }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests of a caller the same one, sent again.
+//! Fingerprints of requests, which identify repeated sends of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,8 +8,9 @@
 
 use crate::Error;
 
-/// Hash of a request's caller, address and body. Attempts of one request share
-/// it; its attempt id, deadline and place in a stream are not part of it.
+/// Hash of a request's caller, target and body. All attempts of one request have
+/// the same fingerprint; the attempt id, the deadline and the position in a
+/// stream are not part of it.
 ///
 /// ```
 /// use marjoram_core::fingerprint::Fingerprint;
@@ -23,8 +24,9 @@
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// Of the request with `body` that is addressed by `parts`: the caller,
-    /// and where it is sent to.
+    /// Computes the fingerprint of the request with `body`. `parts` are the
+    /// caller and the target of the request; each is hashed with its length, so
+    /// that bytes cannot move between them.
     pub fn new(parts: &[&str], body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
         for part in parts {
@@ -46,7 +48,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::Parse("fingerprint", text.into(), "not hexadecimal");
-        u64::from_str_radix(text, 16).map(Self).map_err(|_| wrong())
+        let invalid = || Error::Parse("fingerprint", text.into(), "not hexadecimal");
+        u64::from_str_radix(text, 16).map(Self).map_err(|_| invalid())
     }
 }
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -1,31 +1,32 @@
-//! What a host has seen of an upstream, from the answers it gave.
+//! Passive health tracking of an upstream, based on the responses to regular
+//! requests.
 //!
-//! Load pattern: upstreams that fail a part of their requests, answer
-//! slowly, fall silent or cannot be reached while the registry lists them as
-//! ready. Every figure here comes from requests that were sent anyway; there
-//! are no health checks. A silent upstream gets no requests until it sends
-//! something or a trial request is due, so it costs one request a trial.
+//! Covers upstreams that the registry lists as ready but that fail some of their
+//! requests, respond slowly, stop responding or cannot be reached. There are no
+//! active health checks: every figure here comes from requests that were sent
+//! anyway. An unresponsive upstream gets no requests until it sends data again or
+//! a probe request is due, so it costs one request per probe.
 
 use std::time::Duration;
 
-/// Weight of one answer in the running share of failures: about the last
-/// ten answers count.
+/// Weight of one response in the moving average of the failure rate: roughly the
+/// last ten responses count.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Weight of one answer in the running pace and latency.
-const PACE_WEIGHT: f64 = 0.1;
+/// Weight of one sample in the moving averages of throughput and latency.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// First pause before an unreachable upstream is tried again.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+/// Initial back-off before an unreachable upstream is retried.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Longest such pause.
-const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Upper limit of the back-off, which doubles with each failed retry.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Shortest silence, with requests waiting, after which an upstream counts as
-/// silent: several times a step of a full batch.
+/// Time without data, while requests are pending, after which an upstream counts
+/// as unresponsive: several times the duration of one step of a full batch.
 pub const SILENCE: Duration = Duration::from_millis(500);
 
-/// What a host knows of one upstream's answers.
+/// Health state of one upstream as one host observes it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -38,124 +39,133 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// Running share of answers that were failures.
-    failures: f64,
-    /// Running time of an answer, in milliseconds.
-    latency: Option<f64>,
-    /// Running pace of reading prompts, in tokens a millisecond.
-    pace: Option<f64>,
-    /// Until when it gets no request, and how long that pause was.
+    /// Moving average of the failure rate, from 0 to 1.
+    failure_rate: f64,
+    /// Moving average of the response time, in milliseconds.
+    latency_ms: Option<f64>,
+    /// Moving average of the prefill throughput, in prompt tokens per
+    /// millisecond.
+    prefill_throughput: Option<f64>,
+    /// End of the current or last pause, and the back-off that the next pause
+    /// doubles.
     pause: Option<(Duration, Duration)>,
-    /// That pause is because it could not be reached.
-    lost: bool,
-    /// Requests that wait for a first or further byte.
+    /// The pause is because the upstream could not be reached.
+    paused_unreachable: bool,
+    /// Requests that wait for their first or next byte.
     waiting: u32,
-    /// When it last sent something, or waiting began.
-    progress: Duration,
-    /// When it last sent something.
-    heard: Option<Duration>,
+    /// When data last arrived, or when the first of the pending requests began to
+    /// wait if that was later.
+    last_progress: Duration,
+    /// When data last arrived.
+    last_received: Option<Duration>,
 }
 
 impl Health {
-    /// Nothing known.
+    /// Creates the state of an upstream that no request has been sent to yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// It could not be reached, or a connection to it went silent.
+    /// Records that the upstream could not be reached or that a connection to it
+    /// went silent. Starts a pause with exponential back-off, unless one is
+    /// already running.
     pub fn unreachable(&mut self, now: Duration) {
         let length = match self.pause {
             Some((until, _)) if now < until => return,
-            Some((_, last)) => (last * 2).min(MAX_PAUSE),
-            None => FIRST_PAUSE,
+            Some((_, previous)) => (previous * 2).min(MAX_BACKOFF),
+            None => INITIAL_BACKOFF,
         };
         self.pause = Some((now + length, length));
-        self.lost = true;
+        self.paused_unreachable = true;
     }
 
-    /// It refuses requests for now: it gets none for `length`.
+    /// Records that the upstream refuses requests for now: it gets none for
+    /// `length`.
     pub fn refuses(&mut self, now: Duration, length: Duration) {
         if !self.is_paused(now) {
-            self.pause = Some((now + length, length.min(FIRST_PAUSE)));
-            self.lost = false;
+            self.pause = Some((now + length, length.min(INITIAL_BACKOFF)));
+            self.paused_unreachable = false;
         }
     }
 
-    /// Whether it gets no requests at `now` since it could not be reached.
+    /// Whether the upstream is paused at `now` because it could not be reached.
     pub fn is_lost(&self, now: Duration) -> bool {
-        self.lost && self.is_paused(now)
+        self.paused_unreachable && self.is_paused(now)
     }
 
-    /// Whether it gets no requests at `now`.
+    /// Whether the upstream is paused at `now` and gets no requests.
     pub fn is_paused(&self, now: Duration) -> bool {
         self.pause.is_some_and(|(until, _)| now < until)
     }
 
-    /// A request begins to wait for it.
+    /// Records that a request starts waiting for data from the upstream.
     pub fn wait(&mut self, now: Duration) {
         if self.waiting == 0 {
-            self.progress = now;
+            self.last_progress = now;
         }
         self.waiting += 1;
     }
 
-    /// A request no longer waits for it.
+    /// Records that a request stops waiting for data from the upstream.
     pub fn unwait(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Whether it sent something within `span` before `now`.
+    /// Whether data arrived from the upstream within `span` before `now`.
     pub fn was_alive(&self, now: Duration, span: Duration) -> bool {
-        self.heard.is_some_and(|at| now < at + span)
+        self.last_received.is_some_and(|at| now < at + span)
     }
 
-    /// It sent something.
+    /// Records that data arrived from the upstream; ends any pause.
     pub fn alive(&mut self, now: Duration) {
-        self.progress = now;
-        self.heard = Some(now);
+        self.last_progress = now;
+        self.last_received = Some(now);
         self.pause = None;
     }
 
-    /// How long it has been silent while requests wait for it.
+    /// How long the pending requests have been without data; zero if none is
+    /// pending.
     pub fn silent(&self, now: Duration) -> Duration {
         match self.waiting {
             0 => Duration::ZERO,
-            _ => now.saturating_sub(self.progress),
+            _ => now.saturating_sub(self.last_progress),
         }
     }
 
-    /// An answer was complete (`ok`) or a failure.
+    /// Records a response that was complete (`ok`) or failed.
     pub fn answered(&mut self, ok: bool) {
         let failure = if ok { 0.0 } else { 1.0 };
-        self.failures += FAILURE_WEIGHT * (failure - self.failures);
+        self.failure_rate += FAILURE_WEIGHT * (failure - self.failure_rate);
     }
 
-    /// Running share of failures.
+    /// Moving average of the failure rate, from 0 to 1.
     pub fn failures(&self) -> f64 {
-        self.failures
+        self.failure_rate
     }
 
-    /// An answer took `took`.
+    /// Records the response time of one request.
     pub fn took(&mut self, took: Duration) {
         let ms = took.as_secs_f64() * 1e3;
-        let known = self.latency.unwrap_or(ms);
-        self.latency = Some(known + PACE_WEIGHT * (ms - known));
+        let average = self.latency_ms.unwrap_or(ms);
+        self.latency_ms = Some(average + SAMPLE_WEIGHT * (ms - average));
     }
 
-    /// Running time of an answer, in milliseconds.
+    /// Moving average of the response time, in milliseconds.
     pub fn latency(&self) -> Option<f64> {
-        self.latency
+        self.latency_ms
     }
 
-    /// `tokens` of prompt were read in `took`, the wait for others included.
+    /// Records that a prompt of `tokens` tokens was prefilled in `took`,
+    /// including the time spent queued behind other prompts.
     pub fn read(&mut self, tokens: u64, took: Duration) {
-        let pace = tokens as f64 / (took.as_secs_f64() * 1e3).max(1.0);
-        let known = self.pace.unwrap_or(pace);
-        self.pace = Some(known + PACE_WEIGHT * (pace - known));
+        let throughput = tokens as f64 / (took.as_secs_f64() * 1e3).max(1.0);
+        let average = self.prefill_throughput.unwrap_or(throughput);
+        self.prefill_throughput = Some(average + SAMPLE_WEIGHT * (throughput - average));
     }
 
-    /// Running pace of reading prompts, in tokens a millisecond.
+    /// Moving average of the prefill throughput, in prompt tokens per
+    /// millisecond.
     pub fn pace(&self) -> Option<f64> {
-        self.pace
+        self.prefill_throughput
     }
 }
--- a/crates/core/src/host.rs
+++ b/crates/core/src/host.rs
@@ -1,4 +1,5 @@
-//! Settings of one host's process, as the project names them.
+//! Settings of the process on one host, independent of the format of the
+//! platform's settings file.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -27,76 +28,78 @@
     }
 }
 
-/// Times and shares within which the operators want things done.
+/// Time limits and ratios that the operators require the system to keep.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// How long a leaving upstream may still get work.
+    /// How long an upstream that is leaving may still get requests.
     pub drain: Duration,
-    /// How long a process may take to stop.
+    /// How long a process may take to shut down.
     pub grace: Duration,
-    /// Repeated sends allowed, as a share of first sends, over all hosts.
+    /// Retries allowed, as a fraction of first sends, over all hosts.
     pub retry_ratio: f64,
-    /// The span over which that share is taken.
+    /// Window over which that fraction is measured.
     pub retry_window: Duration,
-    /// Repeated sends allowed beyond the share, over all hosts.
+    /// Number of retries allowed beyond that fraction, over all hosts.
     pub retry_slack: f64,
-    /// How long two holders of a duty must not take turns.
+    /// Minimum time between the orders of two successive leaders of weights
+    /// rollouts.
     pub lease: Duration,
-    /// Time to bring newly named weights into use.
+    /// How long a newly announced weights version may take to come into use.
     pub weights: Duration,
-    /// Longest a caller keeps an address answer.
+    /// How long a caller may keep an address response.
     pub answer_ttl: Duration,
     /// By how much a workspace's requests may exceed its quota.
     pub quota: Tolerance,
 }
 
-/// What a host's process may use.
+/// Resources that the process on a host may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
-    /// Processor time, in cores.
+    /// CPU time, in cores.
     pub cores: f64,
-    /// Its link.
+    /// Speed of its network link.
     pub link: LinkSpeed,
 }
 
 impl Capacity {
-    /// Its room for duties of the whole system.
+    /// Its capacity for taking on system-wide tasks, such as the leadership of
+    /// weights rollouts.
     pub fn room(self) -> Room {
         Room::new(self.cores, self.link.0)
     }
 }
 
-/// Where the platform's store is.
+/// Connection settings for the platform's store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The store's address.
     pub addr: SocketAddr,
-    /// The shortest lease of a group membership it grants.
+    /// Shortest lease of a group membership that the store grants.
     pub lease_min: Duration,
 }
 
-/// Settings of one host's process.
+/// Settings of the process on one host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSettings {
     /// The host's name.
     pub name: String,
-    /// Its address.
+    /// The host's IP address.
     pub ip: IpAddr,
-    /// Its data centre.
+    /// The host's data centre.
     pub dc: DataCentre,
-    /// Where callers' requests arrive.
+    /// Address on which requests from callers arrive.
     pub callers: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness endpoint, if there is one.
     pub ready: Option<SocketAddr>,
-    /// Where callers ask for addresses.
+    /// Address on which callers request the address of a host, if there is one.
     pub directory: Option<SocketAddr>,
-    /// First and last port free for traffic between hosts.
+    /// First and last port of the range for traffic between hosts.
     pub ports: (u16, u16),
-    /// The whole system starts for the first time.
+    /// Whether the whole system is starting for the first time.
     pub first_start: bool,
-    /// What it may use.
+    /// Resources that the process may use.
     pub capacity: Capacity,
-    /// Bounds to keep.
+    /// Time limits and ratios to keep.
     pub bounds: Bounds,
     /// The platform's store.
     pub store: StoreSettings,
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -9,7 +9,7 @@
 
 use crate::Error;
 
-/// Declares a newtype over an unsigned integer with decimal text form.
+/// Declares a newtype over an unsigned integer with a decimal text form.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident($inner:ty), $kind:literal) => {
         $(#[$doc])*
@@ -39,17 +39,19 @@
     "offset"
 );
 number_type!(
-    /// One life of an engine: a fresh random number each time it starts.
+    /// Identifies one run of a process: for an engine, a fresh random number at
+    /// each start.
     Incarnation(u64),
     "incarnation"
 );
 number_type!(
-    /// Version of the weights an engine serves; caches never cross versions.
+    /// Version of the weights an engine serves; cached blocks are valid only
+    /// within one version.
     ModelVersion(u32),
     "model version"
 );
 number_type!(
-    /// Fencing token carried by orders to engines; larger is newer.
+    /// Fencing token sent with orders to engines; a larger one is newer.
     Fencing(u64),
     "fencing token"
 );
@@ -66,7 +68,7 @@
 
 /// Hash of one cache block, chained over all blocks before it.
 ///
-/// Shown as 16 hex digits.
+/// The text form is 16 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BlockHash(pub u64);
@@ -142,18 +144,19 @@
     }
 }
 
-/// Priority of a request: batch work yields to interactive work.
+/// Scheduling priority of a request: interactive requests take precedence over
+/// batch ones.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Overnight batch; may wait.
+    /// Batch processing, such as overnight jobs; may be delayed.
     Batch,
-    /// The default.
+    /// Default priority.
     #[default]
     Normal,
-    /// A person is waiting.
+    /// A user is waiting for the response.
     Interactive,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,50 +1,60 @@
-//! Core of marjoramspring: the routing decision and the state it rests on.
+//! Core library of marjoramspring: routing decisions and the state that they are
+//! based on.
 //!
-//! This crate holds no I/O. The router binary (`marjoram`) and the stand-ins
-//! (`marjoram-standin`) both build on it:
+//! This crate does no I/O. The router binary (`marjoram`) and the stand-ins for
+//! engines and platform services (`marjoram-standin`) are both built on it:
 //!
 //! - [`ids`]: newtypes for ids, counts and offsets.
-//! - [`prefix`]: how a prompt is cut into cache blocks and hashed.
-//! - [`admission`]: whether to take a request on under load.
-//! - [`cache`]: the router's picture of which engine holds which block.
-//! - [`claims`]: at-most-once calls to plain services, ordered by the log.
+//! - [`prefix`]: splits prompts into cache blocks and hashes them.
+//! - [`admission`]: admission control and the retry budget of the router.
+//! - [`cache`]: the router's index of which engine has which cache block.
+//! - [`claims`]: at-most-once calls to plain services, ordered by the log
+//!   service.
 //! - [`params`]: routing parameters of templates and workspaces.
-//! - [`policy`]: the routing policies, behind one small trait.
+//! - [`policy`]: the routing policies and their common trait.
 //! - [`config`]: operator configuration read from the log service.
-//! - [`wire`]: the JSON shapes spoken over HTTP.
-//! - [`workload`]: seeded workloads modelled on the two deployments.
-//! - [`feed`]: reading an engine's cache events into the picture.
-//! - [`lease`]: a lease with a fencing token, kept in the log service.
-//! - [`members`]: which routers are up, as they tell each other.
-//! - [`measure`]: the measures of the brief.
+//! - [`wire`]: JSON messages exchanged over HTTP.
+//! - [`workload`]: reproducible workloads modelled on two deployments.
+//! - [`feed`]: applies an engine's cache events to the cache index.
+//! - [`lease`]: a lease with a fencing token, stored in the log service.
+//! - [`members`]: membership of the routers, by gossip.
+//! - [`measure`]: service-level measures for the load generator.
 //!
-//! For the proxy, which routes by published configuration:
+//! For the proxy, which routes by a published configuration:
 //!
-//! - [`host`]: settings of one host's process.
-//! - [`catalog`]: routes, services, workspaces and limits.
-//! - [`exchange`]: what passes beside the bodies.
-//! - [`fingerprint`]: what makes two requests the same one, sent again.
-//! - [`upstream`]: upstreams as the registry lists them.
-//! - [`health`]: what has been seen of an upstream.
-//! - [`holdings`]: which parts of prompts are kept where.
-//! - [`news`]: cache events that hosts send to each other.
-//! - [`place`]: which engine a prompt goes to.
-//! - [`plain`]: which upstream of a plain service a request goes to.
-//! - [`poison`]: requests that crash whatever runs them.
-//! - [`budget`]: how often requests may be sent again.
-//! - [`quota`]: how much each workspace may send, over all hosts together.
-//! - [`rollout`]: which engines change their weights next.
-//! - [`announce`]: which engines the others are told to be closed.
-//! - [`candidacy`]: which hosts stand for the duty of ordering weights.
-//! - [`spread`]: telling all hosts the same thing through a few of them.
-//! - [`pace`]: how much of a link control traffic may take.
-//! - [`tenure`]: one host's tenure of a duty that the store deals.
-//! - [`era`]: eras of the platform's store, and fencing tokens across them.
-//! - [`relay`]: how far a host has read a log that a few hosts read for all.
-//! - [`soundness`]: how long the platform's store has answered without errors.
-//! - [`stop`]: which requests are still taken while a process stops.
-//! - [`switches`]: which mechanisms of the decisions are in use.
-//! - [`events`]: cutting a stream into whole events.
+//! - [`host`]: settings of the process on one host.
+//! - [`catalog`]: the published configuration: routes, services, workspaces and
+//!   limits.
+//! - [`exchange`]: metadata of requests and responses, independent of the wire
+//!   format.
+//! - [`fingerprint`]: fingerprints that identify repeated sends of a request.
+//! - [`upstream`]: the registry of upstreams, built from their own entries.
+//! - [`health`]: passive health tracking of upstreams.
+//! - [`holdings`]: index of which prompt parts each engine and cache store has
+//!   cached.
+//! - [`news`]: cache updates that hosts send to each other.
+//! - [`place`]: selects the engine for a prompt.
+//! - [`plain`]: selects the upstream for a request to a plain service.
+//! - [`poison`]: detects requests that crash the upstreams that run them.
+//! - [`budget`]: the retry budget shared by all hosts.
+//! - [`quota`]: quotas of the workspaces, enforced across all hosts.
+//! - [`rollout`]: the order in which engines switch to new weights.
+//! - [`announce`]: announcements of which engines are closed while they change
+//!   weights.
+//! - [`candidacy`]: which hosts are candidates for the leadership of weights
+//!   rollouts.
+//! - [`spread`]: broadcasts messages to all hosts through a few relaying hosts.
+//! - [`pace`]: rate limits for control traffic.
+//! - [`tenure`]: one host's term as leader of weights rollouts, which the
+//!   platform's store assigns.
+//! - [`era`]: eras of the platform's store (a new one starts each time it is
+//!   restored from a copy), and fencing tokens across them.
+//! - [`relay`]: how far a host has read a log that a few hosts read on behalf of
+//!   all.
+//! - [`soundness`]: when the platform's store was available.
+//! - [`stop`]: which requests are still accepted during shutdown.
+//! - [`switches`]: turns individual mechanisms of the routing decisions off.
+//! - [`events`]: splits a stream of server-sent events into complete events.
 
 pub mod admission;
 pub mod announce;
--- a/crates/core/src/measure.rs
+++ b/crates/core/src/measure.rs
@@ -1,11 +1,12 @@
-//! The measures of the brief, as the load tool computes them.
+//! Service-level measures, as the load generator computes them.
 //!
-//! - Prefix hit rate: cached prompt tokens over prompt tokens.
-//! - Time to first token: microseconds from send to the first chunk.
-//! - Wasted recomputation: prompt tokens computed again although some engine
-//!   had computed the same block within the eviction horizon (the load tool
-//!   cannot see the engines' memory, so "held" means "computed recently").
-//! - Lost, repeated and falsely refused calls, which must all be zero.
+//! - Prefix hit rate: cached prompt tokens divided by all prompt tokens.
+//! - Time to first token: microseconds from sending a request to its first chunk.
+//! - Wasted recomputation: prompt tokens computed again although some engine had
+//!   computed the same block within the eviction horizon. The load generator
+//!   cannot see the caches of the engines, so it assumes that a block is cached
+//!   for that time after it was computed.
+//! - Lost, repeated and falsely refused calls, all of which must be zero.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -24,17 +25,17 @@
     pub prompt: u64,
     /// Prompt tokens served from cache.
     pub cached: u64,
-    /// Prompt tokens recomputed though recently computed somewhere.
+    /// Prompt tokens computed again although recently computed by some engine.
     pub wasted: u64,
-    /// Completions answered whole and in order.
+    /// Completions answered completely and in order.
     pub answered: u64,
-    /// Calls accepted but never answered whole.
+    /// Calls accepted but never answered completely.
     pub lost: u64,
-    /// Calls answered with another request's answer or run twice.
+    /// Calls that got the response to another request, or were executed twice.
     pub repeated: u64,
-    /// Calls refused as not run.
+    /// Calls refused as not executed.
     pub refused: u64,
-    /// Calls refused as not run that did run.
+    /// Calls refused as not executed although they were executed.
     pub false_refusals: u64,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl Measures {
-    /// Empty totals.
+    /// Creates totals of zero.
     pub fn new() -> Self {
         Self {
             ttft: Histogram::new_with_bounds(1, 600_000_000, 3).expect("valid bounds"),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Cached prompt tokens over prompt tokens, from 0 to 1.
+    /// Prefix hit rate, from 0 to 1.
     ///
     /// ```
     /// use marjoram_core::measure::Measures;
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Wasted recomputation over prompt tokens, from 0 to 1.
+    /// Wasted recomputation as a fraction of the prompt tokens, from 0 to 1.
     pub fn waste_rate(&self) -> f64 {
         match self.prompt {
             0 => 0.0,
@@ -90,21 +91,23 @@
     }
 }
 
-/// When each block was last computed anywhere, to judge recomputation.
+/// When each block was last computed by any engine, to detect wasted
+/// recomputation.
 #[derive(Debug)]
 pub struct Seen {
     horizon: Duration,
-    last: HashMap<BlockHash, Instant>,
+    last_computed: HashMap<BlockHash, Instant>,
 }
 
 impl Seen {
-    /// Blocks count as held for `horizon` after they were last computed.
+    /// Blocks are assumed to be cached for `horizon` after they were last
+    /// computed.
     pub fn new(horizon: Duration) -> Self {
-        Self { horizon, last: HashMap::new() }
+        Self { horizon, last_computed: HashMap::new() }
     }
 
-    /// Records a finished request whose first `cached` tokens were cached;
-    /// returns the wasted tokens among those it computed.
+    /// Records a finished request whose first `cached` tokens came from the
+    /// cache; returns the wasted tokens among those that were computed.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -117,15 +120,17 @@
     /// assert_eq!(seen.finished(&blocks, 16, now), 16);
     /// ```
     pub fn finished(&mut self, blocks: &[BlockHash], cached: u64, now: Instant) -> u64 {
-        let skip = (cached as usize) / BLOCK_TOKENS;
+        let cached_blocks = (cached as usize) / BLOCK_TOKENS;
         let mut wasted = 0;
         for (index, block) in blocks.iter().enumerate() {
-            let held =
-                self.last.get(block).is_some_and(|at| now.duration_since(*at) < self.horizon);
-            if index >= skip && held {
+            let is_cached = self
+                .last_computed
+                .get(block)
+                .is_some_and(|at| now.duration_since(*at) < self.horizon);
+            if index >= cached_blocks && is_cached {
                 wasted += BLOCK_TOKENS as u64;
             }
-            self.last.insert(*block, now);
+            self.last_computed.insert(*block, now);
         }
         wasted
     }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,18 +1,20 @@
-//! Which routers are up, according to each other (soft state only).
+//! Membership of the routers: which of them are up, by gossip among themselves.
+//! All state is soft.
 //!
-//! A SWIM-style failure detector: each router pings a few others a second
-//! and piggybacks news of others on each ping and answer. Nothing is agreed
-//! and nothing is kept: the host list says which routers exist, this table
-//! only says which of them not to hand out to callers. A wrong entry costs a
-//! caller one detour, never a wrong answer.
+//! A SWIM-style failure detector: each router pings a few others per second and
+//! piggybacks updates about further routers on each ping and reply. There is no
+//! consensus and nothing is stored. The host list says which routers exist; this
+//! table says only which of them not to send callers to. A wrong entry costs a
+//! caller one detour, never a wrong response.
 //!
-//! Each router alone speaks for itself, by (incarnation, beat); others may
-//! only declare it [`Status::Down`] at the beat they last heard, which it
-//! refutes with a higher beat as soon as it hears of it. Entries merge by
-//! the greatest (incarnation, beat), `Down` winning a tie, so tables converge
-//! in whatever order news arrives. A router that starts again keeps nothing
-//! of its former life; when it hears of one with a higher incarnation than it
-//! gave itself, it moves past it.
+//! Only a router itself publishes its own status, versioned by (incarnation,
+//! beat). Others may only declare it [`Status::Down`] at the last beat they
+//! received, which it refutes with a higher beat as soon as it learns of that.
+//! Entries merge by the greatest (incarnation, beat), with `Down` winning a tie,
+//! so tables converge whatever the order in which updates arrive. A router that
+//! restarts keeps no state of its earlier incarnation; when it receives an entry
+//! about itself with a higher incarnation than its own, it takes a higher one
+//! still.
 
 use std::collections::BTreeMap;
 
@@ -20,18 +22,18 @@
 
 use crate::ids::Incarnation;
 
-/// What a router says of itself, or others of it.
+/// Status that a router publishes about itself or that others publish about it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// Started, not yet fit for callers.
+    /// Started, but not yet ready to serve callers.
     #[default]
     Warming,
     /// Serving callers.
     Ready,
-    /// Finishing what it has; takes no new callers.
+    /// Finishing the requests it has; accepts no new callers.
     Draining,
     /// Another router could not reach it.
     Down,
@@ -42,11 +44,11 @@
 pub struct Member {
     /// The address it advertises to callers.
     pub addr: String,
-    /// One life of its process; a later life has a higher number.
+    /// Identifies one run of its process; a later run has a higher number.
     pub incarnation: Incarnation,
-    /// Counts its own statements within that life.
+    /// Version of its own status updates within that incarnation.
     pub beat: u64,
-    /// What is said of it.
+    /// Its last known status.
     pub status: Status,
 }
 
@@ -56,25 +58,25 @@
     }
 }
 
-/// Times each entry is passed on before it is dropped from pings.
+/// How often each entry is gossiped before it is left out of pings.
 const RETRANSMITS: u8 = 12;
 
-/// Entries carried by one ping or answer.
+/// Maximum number of entries about other routers in one ping or reply.
 const MAX_ENTRIES: usize = 8;
 
 /// Consecutive failed pings before a router is declared down.
-const MAX_MISSES: u8 = 2;
+const MAX_FAILED_PINGS: u8 = 2;
 
 #[derive(Debug, Clone)]
 struct Entry {
     member: Member,
-    /// Times this entry may still be passed on.
+    /// How often this entry may still be gossiped.
     retransmits: u8,
-    /// Consecutive pings of ours that failed.
-    misses: u8,
+    /// Consecutive pings from this router that failed.
+    failed_pings: u8,
 }
 
-/// One router's table of all routers it has heard of.
+/// One router's table of all routers it knows.
 ///
 /// ```
 /// use marjoram_core::ids::Incarnation;
@@ -94,7 +96,7 @@
 }
 
 impl Members {
-    /// The table of a router that has just started.
+    /// Creates the table of a router that has just started.
     pub fn new(addr: impl Into<String>, incarnation: Incarnation) -> Self {
         let me = Member { addr: addr.into(), incarnation, beat: 0, status: Status::Warming };
         Self { me, others: BTreeMap::new() }
@@ -105,7 +107,7 @@
         &self.me
     }
 
-    /// Changes what this router says of itself.
+    /// Sets the status that this router publishes about itself.
     pub fn set_status(&mut self, status: Status) {
         if self.me.status != status {
             self.me.status = status;
@@ -113,7 +115,7 @@
         }
     }
 
-    /// What is known of the router at `addr`; `None` if never heard of.
+    /// Status of the router at `addr`; `None` if it is not in the table.
     pub fn status(&self, addr: &str) -> Option<Status> {
         match addr == self.me.addr {
             true => Some(self.me.status),
@@ -121,45 +123,46 @@
         }
     }
 
-    /// Whether callers may be sent to `addr`. A router never heard of may:
-    /// the host list, which names it, is all there is to go by.
+    /// Whether callers may be sent to `addr`. They may if the router is not in
+    /// the table: then the host list, which names it, is the only source.
     pub fn usable(&self, addr: &str) -> bool {
         matches!(self.status(addr), None | Some(Status::Ready))
     }
 
-    /// Entries to send with the next ping or answer, the own one first, the
-    /// freshest after it; counts them as passed on.
+    /// Entries to send with the next ping or reply: this router's own first, then
+    /// the most recently changed ones. Counts them as sent.
     pub fn news(&mut self) -> Vec<Member> {
-        let mut told: Vec<&mut Entry> =
+        let mut pending: Vec<&mut Entry> =
             self.others.values_mut().filter(|e| e.retransmits > 0).collect();
-        told.sort_by_key(|e| std::cmp::Reverse(e.retransmits));
-        let mut news = vec![self.me.clone()];
-        for entry in told.into_iter().take(MAX_ENTRIES) {
+        pending.sort_by_key(|e| std::cmp::Reverse(e.retransmits));
+        let mut updates = vec![self.me.clone()];
+        for entry in pending.into_iter().take(MAX_ENTRIES) {
             entry.retransmits -= 1;
-            news.push(entry.member.clone());
+            updates.push(entry.member.clone());
         }
-        news
+        updates
     }
 
-    /// Takes in `news` from another router.
-    pub fn merge(&mut self, news: &[Member]) {
-        for member in news {
+    /// Merges the entries in `updates`, received from another router.
+    pub fn merge(&mut self, updates: &[Member]) {
+        for member in updates {
             match self.others.get(&member.addr) {
                 _ if member.addr == self.me.addr => self.refute(member),
                 Some(entry) if member.rank() <= entry.member.rank() => {}
                 _ => {
                     let entry =
-                        Entry { member: member.clone(), retransmits: RETRANSMITS, misses: 0 };
+                        Entry { member: member.clone(), retransmits: RETRANSMITS, failed_pings: 0 };
                     self.others.insert(member.addr.clone(), entry);
                 }
             }
         }
     }
 
-    /// Answers news of ourselves that is wrong, such as `Down`.
-    fn refute(&mut self, news: &Member) {
-        match news.rank() {
-            rank if rank < self.me.rank() || *news == self.me => {}
+    /// Refutes an entry about this router that is wrong, such as `Down`, by
+    /// publishing a higher beat or incarnation.
+    fn refute(&mut self, update: &Member) {
+        match update.rank() {
+            rank if rank < self.me.rank() || *update == self.me => {}
             (incarnation, ..) if incarnation > self.me.incarnation.0 => {
                 self.me.incarnation = Incarnation(incarnation + 1);
                 self.me.beat = 0;
@@ -168,11 +171,12 @@
         }
     }
 
-    /// Records that a ping of `addr` failed; true when it is now declared
-    /// down. A router never heard of is declared down too, in a life before
-    /// any it can have, so that whatever it says of itself replaces that.
+    /// Records that a ping of `addr` failed; returns true if the router is
+    /// declared down because of it. A router that is not in the table can be
+    /// declared down too, under incarnation 0, which is below any that a router
+    /// has, so that whatever it publishes about itself replaces the entry.
     pub fn missed(&mut self, addr: &str) -> bool {
-        let unheard = || Entry {
+        let placeholder = || Entry {
             member: Member {
                 addr: addr.into(),
                 incarnation: Incarnation(0),
@@ -180,14 +184,14 @@
                 status: Status::Ready,
             },
             retransmits: 0,
-            misses: 0,
+            failed_pings: 0,
         };
-        let entry = self.others.entry(addr.into()).or_insert_with(unheard);
+        let entry = self.others.entry(addr.into()).or_insert_with(placeholder);
         if entry.member.status == Status::Down {
             return false;
         }
-        entry.misses += 1;
-        let down = entry.misses >= MAX_MISSES;
+        entry.failed_pings += 1;
+        let down = entry.failed_pings >= MAX_FAILED_PINGS;
         if down {
             entry.member.status = Status::Down;
             entry.retransmits = RETRANSMITS;
@@ -195,19 +199,20 @@
         down
     }
 
-    /// Records that `addr` answered a ping (its answer has been merged).
+    /// Records that `addr` replied to a ping (its reply has already been merged).
     pub fn answered(&mut self, addr: &str) {
         if let Some(entry) = self.others.get_mut(addr) {
-            entry.misses = 0;
+            entry.failed_pings = 0;
         }
     }
 
-    /// Forgets routers not in `listed`: the host list no longer names them.
+    /// Removes the routers for which `listed` is false: the host list no longer
+    /// names them.
     pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.others.retain(|addr, _| listed(addr));
     }
 
-    /// Every entry, the own one first.
+    /// All entries, this router's own first.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.others.values().map(|e| &e.member))
     }
--- a/crates/core/src/params.rs
+++ b/crates/core/src/params.rs
@@ -2,51 +2,53 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Routing parameters; a workspace's override its template's.
+/// Routing parameters; those of a workspace override those of its template.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Params {
-    /// Prefix-aware: cost of one request in flight, in prompt tokens.
+    /// Prefix-aware: cost of one in-flight request, in prompt tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load_tokens: Option<u32>,
-    /// Prefix-aware: requests by which the chosen engine may exceed the idlest.
+    /// Prefix-aware: number of requests by which the chosen engine may exceed the
+    /// least loaded one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub balance_cap: Option<u32>,
-    /// Maglev: depth in blocks of the prefix that is hashed.
+    /// Maglev: length of the prompt prefix that is hashed, in cache blocks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hash_blocks: Option<u32>,
-    /// Maglev: the most load an engine may carry, in percent of the mean.
+    /// Maglev: maximum load of an engine, in percent of the mean.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load_bound: Option<u32>,
 }
 
 impl Params {
-    /// `self` with every value set in `over` replaced.
-    pub fn with_overrides(self, over: Params) -> Params {
+    /// Returns `self` with every value that is set in `overrides` replaced.
+    pub fn with_overrides(self, overrides: Params) -> Params {
         Params {
-            load_tokens: over.load_tokens.or(self.load_tokens),
-            balance_cap: over.balance_cap.or(self.balance_cap),
-            hash_blocks: over.hash_blocks.or(self.hash_blocks),
-            load_bound: over.load_bound.or(self.load_bound),
+            load_tokens: overrides.load_tokens.or(self.load_tokens),
+            balance_cap: overrides.balance_cap.or(self.balance_cap),
+            hash_blocks: overrides.hash_blocks.or(self.hash_blocks),
+            load_bound: overrides.load_bound.or(self.load_bound),
         }
     }
 
-    /// Prompt tokens one request in flight costs; 32 unless set.
+    /// Cost of one in-flight request, in prompt tokens; default 32.
     pub fn load_tokens(&self) -> u32 {
         self.load_tokens.unwrap_or(32)
     }
 
-    /// Allowed excess over the idlest engine, in requests; 16 unless set.
+    /// Allowed excess over the least loaded engine, in requests; default 16.
     pub fn balance_cap(&self) -> u32 {
         self.balance_cap.unwrap_or(16)
     }
 
-    /// Blocks of prefix hashed by Maglev; 48 unless set.
+    /// Length of the prompt prefix hashed by Maglev, in cache blocks; default 48.
     pub fn hash_blocks(&self) -> u32 {
         self.hash_blocks.unwrap_or(48)
     }
 
-    /// Maglev load bound in percent of the mean; 150 unless set.
+    /// Maximum load of an engine under Maglev, in percent of the mean; default
+    /// 150.
     pub fn load_bound(&self) -> u32 {
         self.load_bound.unwrap_or(150)
     }
--- a/crates/core/src/plain.rs
+++ b/crates/core/src/plain.rs
@@ -1,46 +1,48 @@
-//! Which upstream of a plain service a request goes to.
+//! Selects the upstream for a request to a plain service (one that is not an
+//! engine or a cache store).
 //!
-//! Load pattern: short calls, a few at a time at each upstream, some of
-//! which fail part of their requests or turn slow while listed as ready, and
-//! slow down when nearly full. The upstream with the least expected time
-//! takes the request; failures count as time lost. The nearest is preferred
-//! until a request would wait there: a call across data centres costs two
-//! crossings and the price of its bytes.
+//! Plain services get short calls, a few at a time per upstream. Some upstreams
+//! fail some of their requests or become slow while listed as ready, and all slow
+//! down when nearly full. The upstream with the least expected time gets the
+//! request, with failures counted as lost time. Upstreams in the same data centre
+//! are preferred until a request would queue there, because a call to another
+//! data centre costs two crossings and the transfer charges for its bytes.
 
-/// Milliseconds taken for an answer before anything has been measured.
-const DEFAULT_MS: f64 = 30.0;
+/// Assumed response time before anything has been measured, in milliseconds.
+const DEFAULT_LATENCY_MS: f64 = 30.0;
 
-/// Milliseconds charged for a data centre crossing both ways.
-const FAR_MS: f64 = 6.0;
+/// Cost of a round trip to another data centre, in milliseconds.
+const CROSS_DC_MS: f64 = 6.0;
 
-/// How many times as long an upstream that always fails is taken to need.
-const FAILURE_FACTOR: f64 = 6.0;
+/// Weight of the failure rate in the cost: an upstream that always fails is
+/// charged this many times its expected time in addition.
+const FAILURE_COST: f64 = 6.0;
 
-/// An upstream that may take a request.
+/// A candidate upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Plain {
-    /// Requests there, of all hosts.
+    /// Requests running there, from all hosts.
     pub running: u32,
-    /// Requests it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Running time of its answers, in milliseconds.
+    /// Moving average of its response time, in milliseconds.
     pub latency: Option<f64>,
-    /// Share of its answers that were failures.
+    /// Failure rate, from 0 to 1.
     pub failures: f64,
-    /// It is in another data centre.
+    /// Whether it is in another data centre.
     pub far: bool,
 }
 
-/// The upstream chosen.
+/// The selected upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlainChoice {
-    /// Its index.
+    /// Its index among the candidates.
     pub upstream: usize,
-    /// Milliseconds expected until it has answered.
+    /// Expected response time, in milliseconds, including the time in its queue.
     pub wait: f64,
 }
 
-/// The upstream for a request; `None` without any.
+/// Selects the upstream with the lowest cost; `None` if there are no candidates.
 ///
 /// ```
 /// use marjoram_core::plain::{Plain, place};
@@ -53,13 +55,13 @@
 pub fn place(upstreams: &[Plain]) -> Option<PlainChoice> {
     let wait = |p: &Plain| {
         let slots = f64::from(p.slots.max(1));
-        let ahead = (f64::from(p.running + 1) / slots).max(1.0);
-        p.latency.unwrap_or(DEFAULT_MS) * ahead
+        let load = (f64::from(p.running + 1) / slots).max(1.0);
+        p.latency.unwrap_or(DEFAULT_LATENCY_MS) * load
     };
     let cost = |p: &Plain| {
-        let share = f64::from(p.running) / f64::from(p.slots.max(1));
-        let far = if p.far { FAR_MS } else { 0.0 };
-        wait(p) * (1.0 + share.min(1.0) * 0.5) * (1.0 + FAILURE_FACTOR * p.failures) + far
+        let utilisation = f64::from(p.running) / f64::from(p.slots.max(1));
+        let crossing = if p.far { CROSS_DC_MS } else { 0.0 };
+        wait(p) * (1.0 + utilisation.min(1.0) * 0.5) * (1.0 + FAILURE_COST * p.failures) + crossing
     };
     let best = (0..upstreams.len())
         .min_by(|&a, &b| cost(&upstreams[a]).total_cmp(&cost(&upstreams[b])))?;
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,31 +1,32 @@
-//! How a prompt is cut into cache blocks and hashed.
+//! Splits prompts into cache blocks and hashes them.
 //!
-//! A token is a run of non-blank characters. Every [`BLOCK_TOKENS`] tokens
-//! make one block; a partial last block is never cached. Each block's hash is
-//! chained over the hash before it, and the chain starts from a salt made of
-//! the workspace and the model version. So two prompts share a block hash
-//! only when they share every token up to that block, belong to the same
-//! workspace and were computed under the same weights. The engine stand-in
-//! hashes with this same function, as a real engine publishes its own.
+//! A token is a run of non-blank characters. Every [`BLOCK_TOKENS`] tokens form
+//! one block; a partial last block is never cached. Each block's hash is chained
+//! over the previous hash, and the chain starts from a salt made of the workspace
+//! and the model version. So two prompts share a block hash only if they share
+//! every token up to the end of that block, belong to the same workspace and were
+//! computed with the same weights. The engine stand-in uses this same function;
+//! real engines publish their own hashes.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::ids::{BlockHash, ModelVersion, Tokens, WorkspaceId};
 
-/// Tokens in one cache block.
+/// Tokens per cache block.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// The block hashes and token count of one prompt.
+/// Block hashes and token count of one prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prefix {
-    /// Chained hash of each full block, first block first.
+    /// Chained hash of each full block, in prompt order.
     pub blocks: Vec<BlockHash>,
-    /// Tokens in the whole prompt, the partial block included.
+    /// Tokens in the whole prompt, including the partial block.
     pub tokens: Tokens,
 }
 
 impl Prefix {
-    /// Cuts `prompt` into blocks salted by `workspace` and `version`.
+    /// Splits `prompt` into blocks, with hashes salted by `workspace` and
+    /// `version`.
     ///
     /// ```
     /// use marjoram_core::ids::{ModelVersion, WorkspaceId};
@@ -37,28 +38,28 @@
     /// assert_eq!(p.tokens.0, 40);
     /// ```
     pub fn new(prompt: &str, workspace: &WorkspaceId, version: ModelVersion) -> Self {
-        let mut seed = salt(workspace, version);
+        let mut hash = salt(workspace, version);
         let mut blocks = Vec::new();
-        let mut count = 0u64;
+        let mut token_count = 0u64;
         let mut block = String::new();
-        let mut in_block = 0;
+        let mut tokens_in_block = 0;
         for token in prompt.split_ascii_whitespace() {
-            count += 1;
+            token_count += 1;
             block.push_str(token);
             block.push(' ');
-            in_block += 1;
-            if in_block == BLOCK_TOKENS {
-                seed = xxh3_64_with_seed(block.as_bytes(), seed);
-                blocks.push(BlockHash(seed));
+            tokens_in_block += 1;
+            if tokens_in_block == BLOCK_TOKENS {
+                hash = xxh3_64_with_seed(block.as_bytes(), hash);
+                blocks.push(BlockHash(hash));
                 block.clear();
-                in_block = 0;
+                tokens_in_block = 0;
             }
         }
-        Self { blocks, tokens: Tokens(count) }
+        Self { blocks, tokens: Tokens(token_count) }
     }
 }
 
-/// The seed of a hash chain for one workspace and model version.
+/// Initial seed of the hash chain for one workspace and model version.
 fn salt(workspace: &WorkspaceId, version: ModelVersion) -> u64 {
     let mut text = Vec::with_capacity(workspace.as_str().len() + 5);
     text.extend_from_slice(workspace.as_str().as_bytes());
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,13 +1,14 @@
-//! How far a host has read a log that a few hosts read for all.
+//! Tracks how far a host has read a log that a few hosts read on behalf of all.
 //!
-//! Load pattern: datagrams of several readers that overlap, come late, twice,
-//! or not at all. Offsets tell which of their records a host has not seen. A
-//! store that returns from a copy gives offsets out again, in another era.
+//! The hosts that read the log relay the records to the others in datagrams.
+//! Those of different readers overlap, and they arrive late, twice or not at all.
+//! The log offsets show which of the records are new to a host. A store that is
+//! restored from a copy issues the same offsets again, in a later era.
 //!
-//! Limits: a host never counts a record as read that it may have missed; a
-//! relay confirms that nothing newer existed when its reader asked, no later.
-//! Spans of different eras are never put together: a later one is a gap, however
-//! its offsets compare.
+//! A host never counts a record as read that it may have missed. A relay confirms
+//! that no newer records existed when its reader sent the read request, but
+//! nothing about later times. Spans of different eras are never combined: a span
+//! of a later era is a gap, whatever its offsets are.
 
 use std::time::Duration;
 
@@ -15,32 +16,34 @@
 
 use crate::era::Era;
 
-/// The offsets of an era from `from` up to `next`, which is not in it.
+/// A range of log offsets in one era: from `from` up to, but not including,
+/// `next`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
     /// The era of the store.
     pub era: Era,
-    /// The first.
+    /// First offset in the range.
     pub from: u64,
-    /// The one after the last.
+    /// Offset after the last one in the range.
     pub next: u64,
 }
 
-/// How a relay relates to what a host has read.
+/// How relayed records relate to what a host has already read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Taken {
-    /// The host has read all of it, or it is of an earlier era.
+    /// The host has already read all of them, or they are of an earlier era.
     Old,
-    /// Records before it are missing, or the era is a later one.
+    /// Records before them are missing, or they are of a later era.
     Gap,
-    /// Its records from the offset `after` on are new; there may be none.
+    /// The records from offset `after` on are new; there may be none.
     New {
-        /// Where the host had left off.
+        /// The offset that the host was due to read next.
         after: u64,
     },
 }
 
-/// How far a host has read or been told, and when that was the end of the log.
+/// The log position that a host has reached by its own reads and by relays, and
+/// the latest time at which that was known to be the end of the log.
 ///
 /// ```
 /// use std::time::Duration;
@@ -65,12 +68,14 @@
 }
 
 impl Position {
-    /// A host that has read up to `at` of `era`, having asked at `asked`.
+    /// Position of a host that has read up to `at` (exclusive) of `era`, with a
+    /// read request sent at `asked`.
     pub fn new(era: Era, at: u64, asked: Duration) -> Self {
         Self { era, at, confirmed: asked }
     }
 
-    /// Records that another host, which asked at `asked`, has read `span`.
+    /// Records that another host, which sent its read request at `asked`, has
+    /// read `span`.
     pub fn take(&mut self, span: Span, asked: Duration) -> Taken {
         match self.at {
             _ if span.era < self.era => Taken::Old,
@@ -85,12 +90,13 @@
         }
     }
 
-    /// Where to read on.
+    /// The offset to read next.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// When the host has to read itself, if it may be `pause` behind.
+    /// When the host has to read the log itself, if it may be `pause` behind the
+    /// end of the log.
     pub fn due(&self, pause: Duration) -> Duration {
         self.confirmed + pause
     }
--- a/crates/core/src/soundness.rs
+++ b/crates/core/src/soundness.rs
@@ -1,45 +1,50 @@
-//! How long the platform's store has answered without errors, now and before.
+//! Tracks when the platform's store was available: for how long it has responded
+//! without errors, now and in earlier periods.
 //!
-//! Load pattern: the store fails or slows down while engines are still on
-//! weights that were replaced long ago, since hosts were stopped in turn and
-//! the duty of ordering moved with them. The operators' bound on weights runs
-//! in one stretch without store errors. A host that looks only at the current
-//! stretch takes weights into use again whose bound had passed before the
-//! errors.
+//! The operators' bound on replaced weights (how long they may stay in use) runs
+//! within one period without store errors, because weights can only be ordered
+//! while the store is available. Suppose the store fails or slows down while some
+//! engines are still on weights that were replaced long ago, because hosts were
+//! stopped one after another and the leadership of weights rollouts moved with
+//! them. A host that considers only the current period would then use weights
+//! again whose bound had already passed before the errors.
 //!
-//! A host may also see errors for a local reason: its link or its processor is
-//! loaded, or one connection has gone silent. If it took these for an outage
-//! of the store, it would keep replaced weights in use past their bound. So an
-//! outage counts only once a quorum of the hosts sees errors.
+//! A host may also see errors for a local reason: its link or processor is
+//! overloaded, or one connection has gone silent. If it took these for a store
+//! outage, it would keep replaced weights in use past their bound. So an outage
+//! counts only once a quorum of the hosts sees errors.
 //!
-//! Limits: a stretch ends with the last good answer before the errors, so its
-//! length is never overstated; short and old stretches, which cannot reach a
-//! bound, are forgotten.
+//! A period ends with the last successful response before the errors, so its
+//! length is never overstated. Short periods and old ones, which cannot reach a
+//! bound, are discarded.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Shortest stretch that is remembered.
-const MIN_STRETCH: Duration = Duration::from_secs(2);
+/// Shortest error-free period that is kept.
+const MIN_PERIOD: Duration = Duration::from_secs(2);
 
-/// Stretches remembered.
-const MAX_STRETCHES: usize = 16;
+/// Number of past error-free periods that are kept.
+const MAX_PERIODS: usize = 16;
 
-/// Share of the hosts that must see store errors for an outage: the store may
-/// reject a third of them and serve the others.
+/// Fraction of the hosts that must see store errors for an outage. It is below a
+/// third, because a store that rejects a third of the hosts may still serve the
+/// others.
 const OUTAGE_QUORUM: f64 = 0.2;
 
-/// Hosts that must see errors in any case, if there are so many.
+/// Minimum number of hosts that must see errors, whatever the fraction gives; all
+/// of them if there are fewer.
 const MIN_QUORUM: usize = 2;
 
-/// Time within which these must see errors; a host calls the store about once
-/// a second.
+/// Window within which these hosts must see errors; a host calls the store about
+/// once per second.
 const OUTAGE_WINDOW: Duration = Duration::from_secs(3);
 
-/// How long ago the last outage of the store was, or `None` without a quorum.
-/// This host last saw a store error `own` ago, the others that saw any `others`
-/// ago, of `hosts` in all. A host that saw none ignores reports from other
-/// hosts: two that were suspended at once both see timeouts.
+/// Returns how long ago the last outage of the store was, or `None` without a
+/// quorum. `own` is the age of this host's last store error, `others` are the
+/// ages of the last errors of the other hosts that saw any, and `hosts` is the
+/// number of all hosts. A host that saw no error itself ignores the reports of
+/// others: two hosts that were suspended at the same time both see time-outs.
 ///
 /// ```
 /// use std::time::Duration;
@@ -57,24 +62,24 @@
     hosts: usize,
 ) -> Option<Duration> {
     let own = own.filter(|age| *age <= OUTAGE_WINDOW)?;
-    let share = (hosts as f64 * OUTAGE_QUORUM).ceil() as usize;
-    let quorum = share.max(MIN_QUORUM).min(hosts.max(1));
+    let by_fraction = (hosts as f64 * OUTAGE_QUORUM).ceil() as usize;
+    let quorum = by_fraction.max(MIN_QUORUM).min(hosts.max(1));
     let mut ages: Vec<Duration> = others.into_iter().filter(|age| *age <= OUTAGE_WINDOW).collect();
     ages.push(own);
     ages.sort_unstable();
     ages.get(quorum - 1).copied()
 }
 
-/// A stretch without store errors.
+/// A period without store errors.
 #[derive(Debug, Clone, Copy)]
-struct Stretch {
+struct ErrorFreePeriod {
     /// When it began; `None` if before this process started.
-    begun: Option<Duration>,
-    /// The last good answer in it.
+    start: Option<Duration>,
+    /// The last successful response in it.
     end: Duration,
 }
 
-/// When the store answered without errors, as far as this host knows.
+/// Periods in which the store responded without errors, as observed by this host.
 ///
 /// ```
 /// use std::time::Duration;
@@ -83,57 +88,59 @@
 /// let mut store = Soundness::new();
 /// store.good(secs(19));
 /// store.note_error(secs(20));
-/// // Within the last 22 seconds: 13 in one stretch before the error, and two
-/// // since.
+/// // Of the 22 seconds before 28 s, 13 are in one period before the error. At 22
+/// // s, two seconds have passed since it.
 /// assert_eq!(store.past(secs(22), secs(28)), secs(13));
 /// assert_eq!(store.lasts(secs(22)), secs(2));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Soundness {
     last_error: Option<Duration>,
-    last_good: Duration,
-    past: VecDeque<Stretch>,
+    last_success: Duration,
+    periods: VecDeque<ErrorFreePeriod>,
 }
 
 impl Soundness {
-    /// No error known.
+    /// Creates a tracker with no errors recorded.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The store answered in time at `now`.
+    /// Records that the store responded in time at `now`.
     pub fn good(&mut self, now: Duration) {
-        self.last_good = self.last_good.max(now);
+        self.last_success = self.last_success.max(now);
     }
 
-    /// The store failed at `now`; times before the last known error are ignored.
+    /// Records that the store failed at `now`; times up to the last recorded
+    /// error are ignored.
     pub fn note_error(&mut self, now: Duration) {
         if self.last_error.is_some_and(|at| now <= at) {
             return;
         }
-        let stretch = Stretch { begun: self.last_error, end: self.last_good };
-        let length = self.last_good.saturating_sub(self.last_error.unwrap_or_default());
-        if length >= MIN_STRETCH {
-            self.past.push_back(stretch);
+        let period = ErrorFreePeriod { start: self.last_error, end: self.last_success };
+        let length = self.last_success.saturating_sub(self.last_error.unwrap_or_default());
+        if length >= MIN_PERIOD {
+            self.periods.push_back(period);
         }
-        if self.past.len() > MAX_STRETCHES {
-            self.past.pop_front();
+        if self.periods.len() > MAX_PERIODS {
+            self.periods.pop_front();
         }
         self.last_error = Some(now);
     }
 
-    /// How long it has been without errors at `now`.
+    /// How long the store has been without errors at `now`; [`Duration::MAX`] if
+    /// it never failed.
     pub fn lasts(&self, now: Duration) -> Duration {
         self.last_error.map_or(Duration::MAX, |at| now.saturating_sub(at))
     }
 
-    /// The longest stretch without errors that ended before the last error, as
-    /// far as it lies in the `span` before `now`.
+    /// The longest error-free period that ended before the last error, counting
+    /// only the part within the `span` before `now`.
     pub fn past(&self, span: Duration, now: Duration) -> Duration {
-        let within = |stretch: &Stretch| {
-            let since = span.saturating_sub(now.saturating_sub(stretch.end));
-            stretch.begun.map_or(since, |begun| since.min(stretch.end.saturating_sub(begun)))
+        let within = |period: &ErrorFreePeriod| {
+            let since = span.saturating_sub(now.saturating_sub(period.end));
+            period.start.map_or(since, |start| since.min(period.end.saturating_sub(start)))
         };
-        self.past.iter().map(within).max().unwrap_or_default()
+        self.periods.iter().map(within).max().unwrap_or_default()
     }
 }
--- a/crates/core/src/stop.rs
+++ b/crates/core/src/stop.rs
@@ -1,21 +1,22 @@
-//! Which requests are still taken while a process stops.
+//! Which requests a process still accepts while it shuts down.
 //!
-//! Load pattern: callers that keep an old answer go on sending to a host
-//! that is stopping, for seconds. What it takes must end before the process
-//! does. Requests are taken as before for [`OPEN`]; after that only those
-//! whose own time is up before the end. The others are refused at once as
-//! not run, while the caller has nearly all of its time to go elsewhere.
+//! Callers that cached an address go on sending requests to a host that is
+//! shutting down, for some seconds. The requests it accepts must end before the
+//! process does. For the period [`ACCEPT_ALL`] all requests are accepted as before;
+//! after that, only those whose time limit ends before the process does. The
+//! others are rejected at once as not executed, while the caller still has nearly
+//! all of its time to try another host.
 
 use std::time::Duration;
 
-/// How long every request is still taken: callers keep an answer for two
-/// seconds, and a new one no longer names this host.
-const OPEN: Duration = Duration::from_secs(3);
+/// How long every request is still accepted: callers keep an address for two
+/// seconds, and new address responses no longer name this host.
+const ACCEPT_ALL: Duration = Duration::from_secs(3);
 
-/// Time kept back at the end for the answer to be written.
-const MARGIN: Duration = Duration::from_millis(150);
+/// Time reserved at the end for writing the response.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
 
-/// A stop: when it began and when it must be over.
+/// A shutdown in progress: when it began and when it must be over.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,15 +29,16 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
-    /// When it began.
+    /// When the shutdown began.
     pub begun: Duration,
     /// When the process ends.
     pub end: Duration,
 }
 
 impl Stop {
-    /// Whether a request that comes at `now` and may take `limit` is taken.
+    /// Whether a request that arrives at `now` and may take up to `limit` is
+    /// accepted.
     pub fn takes(&self, now: Duration, limit: Duration) -> bool {
-        now < self.begun + OPEN || now + limit + MARGIN <= self.end
+        now < self.begun + ACCEPT_ALL || now + limit + RESPONSE_MARGIN <= self.end
     }
 }
--- a/crates/core/src/switches.rs
+++ b/crates/core/src/switches.rs
@@ -1,6 +1,6 @@
-//! Which mechanisms of the decisions are in use. All are, unless an operator
-//! switches one off to measure what it is worth on a site's own load; the
-//! table of docs/DECISIONS.md was made so.
+//! Switches that turn off individual mechanisms of the routing decisions. All are
+//! on, unless an operator turns one off to measure its effect on a site's own
+//! load. The table in docs/DECISIONS.md was measured in this way.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,35 +8,42 @@
 
 use crate::Error;
 
-/// A mechanism that can be switched off. No promise rests on one of these.
+/// A mechanism that can be turned off. None of the system's guarantees depends on
+/// one of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Each chain of shared parts has a home among the engines.
+    /// Requests that share a prefix path prefer one engine, selected by
+    /// rendezvous hashing.
     Homes,
-    /// Shared parts are copied from where they are kept.
+    /// Cached shared prompt parts are copied from the engine or cache store that
+    /// holds them.
     Copies,
-    /// Shared parts are saved to the cache stores and copied from there.
+    /// Cached shared prompt parts are saved to the cache stores and copied from
+    /// there.
     Stores,
-    /// Some engines take small prompts first.
+    /// Small prompts prefer a partition of the engines, large ones the others.
     Lanes,
-    /// Large fleets compare a few engines drawn for each request.
+    /// With many hosts, each request is compared only over a few engines sampled
+    /// by hashing.
     Drawing,
-    /// Large prompts wait at the router behind others.
+    /// Large prompts wait at the router, not in the engine's queue, when others
+    /// are ahead of them.
     Waiting,
-    /// Hosts count each other's requests at the engines.
+    /// Hosts include each other's requests in the load of the engines.
     Loads,
-    /// The events of caches are read and passed on.
+    /// Hosts read cache events and pass the updates on to other hosts.
     News,
-    /// Hosts pass on which upstreams they could not reach.
+    /// Hosts report to each other which upstreams they could not reach.
     Doubts,
-    /// An engine that refuses for its weights is asked which it serves.
+    /// After an engine refuses a request because of its weights version, it is
+    /// asked which version it serves.
     Reports,
-    /// A few hosts account for each workspace; else each host keeps to a fixed
-    /// share of its quota.
+    /// For each workspace, a few hosts act as quota coordinators. Without this,
+    /// each host keeps to a fixed share of the quota.
     Accounts,
 }
 
-/// All mechanisms, with their names.
+/// All mechanisms with their names in the settings.
 const NAMES: [(Mechanism, &str); 11] = [
     (Mechanism::Homes, "homes"),
     (Mechanism::Copies, "copies"),
@@ -62,14 +69,14 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
-        let known = NAMES.iter().find(|(_, name)| *name == text);
-        known
+        let entry = NAMES.iter().find(|(_, name)| *name == text);
+        entry
             .map(|(mechanism, _)| *mechanism)
             .ok_or_else(|| Error::Parse("mechanism", text.into(), "no such mechanism"))
     }
 }
 
-/// The mechanisms that are switched off.
+/// The set of mechanisms that are turned off.
 ///
 /// ```
 /// use marjoram_core::switches::{Mechanism, Switches};
@@ -80,19 +87,19 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Switches {
-    off: BTreeSet<Mechanism>,
+    disabled: BTreeSet<Mechanism>,
 }
 
 impl Switches {
-    /// Whether `mechanism` is in use.
+    /// Whether `mechanism` is turned on.
     pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+        !self.disabled.contains(&mechanism)
     }
 }
 
 impl fmt::Display for Switches {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names: Vec<String> = self.off.iter().map(Mechanism::to_string).collect();
+        let names: Vec<String> = self.disabled.iter().map(Mechanism::to_string).collect();
         f.write_str(&names.join(","))
     }
 }
@@ -100,9 +107,9 @@
 impl FromStr for Switches {
     type Err = Error;
 
-    /// Names separated by commas.
+    /// Parses a comma-separated list of names.
     fn from_str(text: &str) -> Result<Self, Error> {
         let names = text.split(',').map(str::trim).filter(|name| !name.is_empty());
-        Ok(Self { off: names.map(str::parse).collect::<Result<_, Error>>()? })
+        Ok(Self { disabled: names.map(str::parse).collect::<Result<_, Error>>()? })
     }
 }
--- a/crates/core/src/wire.rs
+++ b/crates/core/src/wire.rs
@@ -1,9 +1,10 @@
-//! The JSON shapes spoken over HTTP between callers, routers, engines and
-//! the platform's services.
+//! JSON messages exchanged over HTTP between callers, routers, engines and the
+//! platform's services.
 //!
-//! Callers speak an OpenAI-style completions API. Engines take the same
-//! shape plus the router's request id and stream [`Chunk`]s as server-sent
-//! events, each with a sequence number, the last one carrying [`Usage`].
+//! Callers use an OpenAI-style completions API. Engines take the same kind of
+//! request with the router's request id added, and stream [`Chunk`]s as
+//! server-sent events. Each chunk has a sequence number, and the last one carries
+//! [`Usage`].
 
 use serde::{Deserialize, Serialize};
 
@@ -11,34 +12,34 @@
     BlockHash, Fencing, Incarnation, ModelVersion, Offset, Priority, RequestId, Tokens,
 };
 
-/// Header of an engine's answer naming the weights it computes under.
+/// Response header of an engine that names the weights version it computes with.
 pub const WEIGHTS_VERSION: &str = "weights-version";
 
-/// Header of an engine's answer saying it has not run the request.
+/// Response header of an engine that says it did not execute the request.
 pub const NOT_EXECUTED: &str = "not-executed";
 
-/// Header carrying the caller's idempotency key.
+/// Request header that carries the caller's idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// A caller's completion request: `POST /v1/completions` on a router.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CompletionRequest {
-    /// The workspace, which names the routing policy.
+    /// The workspace, which determines the routing policy.
     pub workspace: String,
     /// The prompt; tokens are runs of non-blank characters.
     pub prompt: String,
-    /// Tokens to generate; 16 unless set.
+    /// Number of tokens to generate; default 16.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Stream server-sent events rather than one whole answer.
+    /// Stream the response as server-sent events instead of one JSON document.
     #[serde(default)]
     pub stream: bool,
     /// Scheduling priority at the engine.
     #[serde(default)]
     pub priority: Priority,
-    /// Milliseconds the caller waits for the first token; a request that is
-    /// not expected to make it is refused at once.
+    /// Time the caller waits for the first token, in milliseconds. A request that
+    /// is not expected to meet it is refused at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
@@ -47,12 +48,12 @@
     16
 }
 
-/// A router's order to an engine: `POST /v1/completions` on an engine.
+/// A router's request to an engine: `POST /v1/completions` on an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineRequest {
     /// The router's id for the request, echoed in every chunk.
     pub id: RequestId,
-    /// The workspace; the engine salts its cache with it.
+    /// The workspace, which the engine uses to salt the hashes of its cache.
     pub workspace: String,
     /// The prompt.
     pub prompt: String,
@@ -60,12 +61,12 @@
     pub max_tokens: u32,
     /// Scheduling priority.
     pub priority: Priority,
-    /// First chunk to send: chunks before it reached the caller through
+    /// First chunk to send: the caller already received the chunks before it from
     /// another engine. Generation is deterministic per id and position.
     #[serde(default)]
     pub resume_from: u32,
-    /// Weights the answer must be computed under; an engine serving others
-    /// answers 409 and does not run the request.
+    /// Weights version to compute the response with; an engine that serves
+    /// another version responds with 409 and does not execute the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expect_version: Option<ModelVersion>,
 }
@@ -73,13 +74,13 @@
 /// An order to load weights: `POST /v1/admin/weights` on an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsOrder {
-    /// The weights to serve from now on.
+    /// The weights version to serve from now on.
     pub version: ModelVersion,
-    /// The keeper's fencing token.
+    /// The fencing token of the lease holder that sends the order.
     pub fencing: Fencing,
 }
 
-/// Token accounting of a finished request.
+/// Token counts of a finished request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens in the prompt.
@@ -90,10 +91,10 @@
     pub completion_tokens: Tokens,
 }
 
-/// One piece of a streamed answer, as an event's `data`.
+/// One chunk of a streamed response, sent as the `data` of an event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The request this chunk answers.
+    /// The request this chunk belongs to.
     pub id: RequestId,
     /// Position in the stream, from 0, with no gaps.
     pub seq: u32,
@@ -104,23 +105,23 @@
     pub usage: Option<Usage>,
 }
 
-/// A whole answer, when the caller did not ask for a stream.
+/// A complete response, for callers that did not ask for a stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Completion {
-    /// The request this answers.
+    /// The request this is the response to.
     pub id: RequestId,
     /// All generated text.
     pub text: String,
-    /// Token accounting.
+    /// Token counts.
     pub usage: Usage,
     /// Address of the engine that computed it.
     pub engine: String,
 }
 
-/// The body of every error answer.
+/// The body of every error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error.
     pub error: ErrorDetail,
 }
 
@@ -131,20 +132,20 @@
     pub step: String,
     /// The peer involved: a caller, engine or service address, or `router`.
     pub peer: String,
-    /// A plain sentence.
+    /// Human-readable description.
     pub message: String,
-    /// True only when the request is known not to have run anywhere.
+    /// True only if the request is known not to have been executed anywhere.
     pub not_run: bool,
 }
 
-/// Answer of `GET /v1/route`: which entry host to use, and for how long.
+/// Response of `GET /v1/route`: which entry host to use, and for how long.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RouteAnswer {
     /// Address of the router to connect to.
     pub addr: String,
     /// Data centre of that router.
     pub dc: String,
-    /// Milliseconds the caller may keep the answer.
+    /// How long the caller may keep this address, in milliseconds.
     pub ttl_ms: u64,
 }
 
@@ -153,76 +154,77 @@
 pub struct LogRecord {
     /// Its offset.
     pub offset: Offset,
-    /// Milliseconds since the Unix epoch at append.
+    /// Time at which it was appended, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The record as appended.
     pub body: String,
 }
 
-/// Answer of a log-service read.
+/// Response of a log-service read.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogRead {
     /// Records from the requested offset on, in offset order.
     pub records: Vec<LogRecord>,
-    /// Offset the next append will get.
+    /// Offset that the next appended record will get.
     pub next: Offset,
     /// Oldest offset still kept; older records have expired.
     pub oldest: Offset,
 }
 
-/// Answer of a log-service append.
+/// Response of a log-service append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset given to the record.
+    /// Offset assigned to the record.
     pub offset: Offset,
 }
 
-/// What happened to a set of cache blocks at an engine.
+/// Type of change to a set of cache blocks at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EventKind {
-    /// The blocks were computed and are held.
+    /// The blocks were computed and added to the cache.
     Stored,
     /// The blocks were evicted.
     Removed,
-    /// Every block was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
 
 /// One cache event of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Position in the engine's event sequence; a jump means lost events.
+    /// Position in the engine's event sequence; a gap means lost events.
     pub seq: u64,
-    /// What happened.
+    /// Type of change.
     pub kind: EventKind,
-    /// The blocks concerned; empty for `cleared`.
+    /// The affected blocks; empty for `cleared`.
     pub blocks: Vec<BlockHash>,
 }
 
-/// Answer of `GET /v1/events?from=N` on an engine.
+/// Response of `GET /v1/events?from=N` on an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The weights it serves.
+    /// The weights version it serves.
     pub version: ModelVersion,
-    /// Sequence number the next event will get.
+    /// Sequence number that the next event will get.
     pub next: u64,
     /// Events from the requested one on; some may be missing.
     pub events: Vec<CacheEvent>,
 }
 
-/// Answer of `GET /v1/load` on an engine; reported with a lag.
+/// Response of `GET /v1/load` on an engine. The figures are reported with a
+/// delay.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The weights it serves.
+    /// The weights version it serves.
     pub version: ModelVersion,
-    /// Requests being computed.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests queued.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
@@ -232,19 +234,19 @@
 pub enum Role {
     /// An entry host running a router.
     Router,
-    /// A model runner.
+    /// An inference engine that serves a model.
     Engine,
-    /// A plain service.
+    /// A plain service, to which calls are passed through.
     Service,
 }
 
-/// Whether a host takes new work.
+/// Whether a host accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// In service.
     Live,
-    /// Being drained: no new work.
+    /// Draining: gets no new requests.
     Leaving,
 }
 
@@ -253,19 +255,20 @@
 pub struct HostEntry {
     /// `ip:port` of the host's service.
     pub addr: String,
-    /// What runs there.
+    /// What runs on the host.
     pub role: Role,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: HostState,
     /// Its data centre.
     pub dc: String,
 }
 
-/// Answer of `GET /v1/hosts?version=N` on the host list; 304 when N is
-/// still its version.
+/// Response of `GET /v1/hosts?version=N` on the host list service; 304 if the
+/// list still has version N.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct HostList {
-    /// Changes with the list; meaningful only to the host list that gave it.
+    /// Changes whenever the list does; comparable only between responses of the
+    /// same host list service.
     #[serde(default)]
     pub version: u64,
     /// Every known host.
--- a/crates/core/src/workload.rs
+++ b/crates/core/src/workload.rs
@@ -1,15 +1,18 @@
-//! Seeded workloads modelled on the two deployments of the brief.
+//! Reproducible workloads modelled on two deployments.
 //!
-//! - `kilimanjaro`: checking engineers send a building-code edition, a
-//!   chapter and a clause, then a beam schedule of their own. One edition is
-//!   hot; the hot one shifts twice over a run. A third of the checks are an
-//!   overnight batch at low priority; drafters make short lookups.
-//! - `lone-star`: estimators send a customer's specification, a tool drawing
-//!   and a part, then notes; two customers are hot and shift. Shift
-//!   supervisors classify defects, and one call in twenty is a press-line
-//!   alert to a plain service that must run at most once.
+//! - `kilimanjaro`: engineers check designs against a building code. A prompt
+//!   consists of an edition of the code, a chapter and a clause, then the
+//!   engineer's own beam schedule. One edition is much more frequent than the
+//!   others, and which one changes twice per run. A third of the checks belong to
+//!   an overnight batch at low priority. Drafters make short lookups.
+//! - `lone-star`: estimators write quotations. A prompt consists of a customer's
+//!   specification, a tool drawing and a part, then notes. Two customers are more
+//!   frequent than the others, and which ones changes during a run. Shift
+//!   supervisors classify defects. One call in twenty is a press-line alert to a
+//!   plain service that must be executed at most once.
 //!
-//! The same seed gives the same calls, so policies compare on equal terms.
+//! The same seed gives the same calls, so that policies can be compared under the
+//! same load.
 
 use std::fmt;
 use std::str::FromStr;
@@ -20,10 +23,11 @@
 use crate::Error;
 use crate::ids::Priority;
 
-/// Which deployment a workload imitates.
+/// The deployment that a workload is modelled on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Site {
-    /// Kilimanjaro Structural Consult: code clause checks.
+    /// Kilimanjaro Structural Consult: checks against the clauses of a building
+    /// code.
     Kilimanjaro,
     /// Lone Star Mould Franchise Group: quotations, defects, alerts.
     LoneStar,
@@ -59,19 +63,19 @@
         workspace: &'static str,
         /// The prompt.
         prompt: String,
-        /// Tokens to generate.
+        /// Number of tokens to generate.
         max_tokens: u32,
         /// Priority.
         priority: Priority,
     },
-    /// A call to a plain service that must run at most once.
+    /// A call to a plain service that must be executed at most once.
     Alert {
         /// The idempotency key.
         key: String,
     },
 }
 
-/// The workspaces each site uses, for publishing configuration.
+/// The workspaces of a site, for publishing their configuration.
 pub fn workspaces(site: Site) -> &'static [&'static str] {
     match site {
         Site::Kilimanjaro => &["kili-checks", "kili-drafting"],
@@ -79,7 +83,7 @@
     }
 }
 
-/// A seeded stream of calls.
+/// A reproducible sequence of calls.
 #[derive(Debug)]
 pub struct Workload {
     site: Site,
@@ -89,7 +93,7 @@
 }
 
 impl Workload {
-    /// `total` calls of `site` drawn from `seed`.
+    /// Generates `total` calls of `site` from `seed`.
     ///
     /// ```
     /// use marjoram_core::workload::{Site, Workload};
@@ -101,7 +105,8 @@
         Self { site, rng: ChaCha8Rng::seed_from_u64(seed), count: 0, total }
     }
 
-    /// Which third of the run we are in: the hot prefix shifts with it.
+    /// Index of the current third of the run; the most frequent prefix changes
+    /// with it.
     fn phase(&self) -> u64 {
         self.count * 3 / self.total.max(1)
     }
@@ -190,13 +195,13 @@
     Call::Completion { workspace, prompt, max_tokens, priority }
 }
 
-/// An index below `n`, low indices far likelier than high ones.
+/// Returns an index below `n`; low indices are much more likely than high ones.
 fn skewed(rng: &mut ChaCha8Rng, n: u64) -> u64 {
     let x: f64 = rng.random();
     ((x * x * x) * n as f64) as u64
 }
 
-/// `tokens` tokens of text naming one section of a document.
+/// Returns `tokens` tokens of text that represent one section of a document.
 fn section(tag: &str, id: u64, tokens: u32) -> String {
     let words: Vec<String> = (0..tokens).map(|i| format!("{tag}{id}.{i}")).collect();
     words.join(" ")
