--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -23,7 +23,7 @@
 
 /// Statistics of one read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Taken {
+pub struct ReadStats {
     /// Events applied.
     pub events: u64,
     /// Gaps in the sequence numbers; each means lost events.
@@ -56,13 +56,13 @@
     slot: Slot,
     cursor: Option<Cursor>,
     read: &CacheEvents,
-) -> (Cursor, Taken) {
+) -> (Cursor, ReadStats) {
     let life = Life { incarnation: read.incarnation, version: read.version };
     match cursor {
         Some(previous) if previous.life.incarnation != life.incarnation => {
             picture.clear(slot);
             picture.begin(slot, life);
-            return (Cursor { life, next: 0 }, Taken::default());
+            return (Cursor { life, next: 0 }, ReadStats::default());
         }
         // The entries of the same incarnation may have been cleared in the
         // meantime, for example because the engine was considered dead. `begin`
@@ -70,7 +70,7 @@
         _ => picture.begin(slot, life),
     }
     let mut next = cursor.map(|previous| previous.next).unwrap_or(0);
-    let mut stats = Taken::default();
+    let mut stats = ReadStats::default();
     for event in &read.events {
         stats.gaps += u64::from(event.seq != next);
         stats.events += 1;
--- a/crates/core/src/switches.rs
+++ b/crates/core/src/switches.rs
@@ -43,7 +43,7 @@
     Accounts,
 }
 
-/// All mechanisms with their names in the settings.
+/// All mechanisms with the names that `--without` takes.
 const NAMES: [(Mechanism, &str); 11] = [
     (Mechanism::Homes, "homes"),
     (Mechanism::Copies, "copies"),
