--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -13,8 +13,7 @@
 
 /// Minimum number of tokens for a sample: below that, fixed costs dominate.
 const MIN_SAMPLE_TOKENS: u64 = 256;
-/// Inverse weight of a new sample: the moving average takes one part in this many
-/// from it.
+/// Inverse weight of a new sample in the moving average: 8 means one eighth.
 const SMOOTHING: u64 = 8;
 
 /// Moving average of the nanoseconds that an engine takes per prompt token.
--- a/crates/core/src/soundness.rs
+++ b/crates/core/src/soundness.rs
@@ -28,8 +28,8 @@
 const MAX_PERIODS: usize = 16;
 
 /// Fraction of the hosts that must see store errors for an outage. It is below a
-/// third, because a store that rejects a third of the hosts may still serve the
-/// others.
+/// third, so that an outage is also detected if the store rejects only a third of
+/// the hosts and serves the others.
 const OUTAGE_QUORUM: f64 = 0.2;
 
 /// Minimum number of hosts that must see errors, whatever the fraction gives; all
