--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -1,16 +1,17 @@
-//! Requests that crash whatever begins to run them.
+//! Requests that crash every upstream that begins to run them.
 //!
 //! Load pattern: a caller sends the same request again and again, each time
-//! under a new attempt and to any host; each upstream that begins to run it
-//! crashes, with all that runs beside it, and is back after some seconds.
+//! as a new attempt and to any host. Each upstream that begins to run it
+//! crashes, with all requests in flight there, and is back after some seconds.
 //!
-//! What each host sees of a crash is [`CrashReport`]: its requests that were there.
-//! [`Suspects`] puts the reports of all hosts together and finds the request
-//! that was there each time; [`Quarantine`] keeps those found.
+//! Each host that had requests in flight at a crash sends a [`CrashReport`] for
+//! each of them. [`Suspects`] combines the reports of all hosts and detects the
+//! request that was in flight at every crash; [`Quarantine`] keeps the detected
+//! ones.
 //!
-//! Limits: three crashes, since a request that is resumed or repeated after a
-//! crash is often there at a second one. Crashes that are explained by a
-//! request already found count against no other request.
+//! Limits: detection needs three crashes, since a request that is resumed or
+//! repeated after a crash is often in flight at a second one. Crashes that are
+//! explained by a request already detected count against no other request.
 
 mod quarantine;
 mod recent;
@@ -30,24 +31,24 @@
 pub use suspect::CRASHES;
 pub use suspects::{SETTLE, Suspects};
 
-/// How long a request is kept from upstreams when it is first found; doubled
-/// each time it crashes one again. Its caller, or what runs it, has most likely
-/// changed by the end.
+/// How long a request is refused when it is first detected, in seconds (one hour);
+/// doubled each time it crashes an upstream again. By the end its caller, or the
+/// software that runs it, has most likely changed.
 pub const TERM: Duration = Duration::from_secs(3_600);
 
-/// The longest such time.
+/// The longest such time, in seconds (one day).
 const MAX_TERM: Duration = Duration::from_secs(24 * 3_600);
 
-/// Times that a term may double.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// Upstreams that are considered for a request that was at a crash.
-const SPREAD: usize = 2;
+/// Number of upstreams considered for a request that was in flight at a crash.
+const RETRY_UPSTREAMS: usize = 2;
 
-/// Of the upstreams with the keys `places`, those that `request` is sent to
-/// next after a crash. Requests with the same shared parts otherwise go to the
-/// same upstreams and are at the same crashes; spread over different upstreams,
-/// they can be told from the cause.
+/// The upstreams to which `request` is sent next after a crash, as indices into
+/// `places`, the keys of the available ones. Requests with the same prompt prefix
+/// otherwise go to the same upstreams and are in flight at the same crashes;
+/// spread over different upstreams, they can be distinguished from the cause.
 ///
 /// ```
 /// use marjoram_core::fingerprint::Fingerprint;
@@ -59,48 +60,48 @@
 pub fn apart(request: Fingerprint, places: &[u64]) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..places.len()).collect();
     indices.sort_unstable_by_key(|&i| Reverse(place::rank(request.0, places[i])));
-    indices.truncate(SPREAD);
+    indices.truncate(RETRY_UPSTREAMS);
     indices
 }
 
-/// One request that was at an upstream when that crashed.
+/// A report of one request that was in flight at an upstream when that crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The request.
     pub request: Fingerprint,
-    /// Key of the upstream's life.
+    /// Key of the upstream's incarnation.
     pub upstream: u64,
     /// Hash of the caller's attempt.
     pub attempt: u64,
-    /// How long its answer had run, if that had begun.
+    /// For how long its answer had been streamed, if that had begun.
     pub ran: Option<Duration>,
-    /// How long before the crash it last ran to its end at the reporting host.
+    /// How long before the crash the request last completed at the reporting host.
     pub well: Option<Duration>,
-    /// When that host noticed the crash, since the Unix epoch: a report may be
-    /// read late, and several at once then.
+    /// When that host noticed the crash, since the Unix epoch. The time of receipt
+    /// cannot stand in for it: reports may be read late, and several at once.
     pub at: Duration,
 }
 
-/// A request found to crash what runs it.
+/// A request that was detected to crash the upstreams that run it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
     /// The request.
     pub request: Fingerprint,
-    /// Keys of the lives of upstreams that crashed under it.
+    /// Keys of the incarnations of upstreams that it crashed.
     pub upstreams: Vec<u64>,
-    /// When it was found, since the Unix epoch.
+    /// When it was detected, since the Unix epoch.
     pub at: Duration,
-    /// How often it had been found before.
+    /// How often it had been detected before.
     pub repeats: u32,
 }
 
 impl Quarantined {
-    /// `request` is found at `at` to have crashed `upstreams`.
+    /// An entry for `request`, detected at `at` to have crashed `upstreams`.
     pub fn new(request: Fingerprint, upstreams: Vec<u64>, at: Duration) -> Self {
         Self { request, upstreams, at, repeats: 0 }
     }
 
-    /// Until when it is sent to no upstream, since the Unix epoch.
+    /// Until when it is refused, since the Unix epoch.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/core/src/poison/quarantine.rs
+++ b/crates/core/src/poison/quarantine.rs
@@ -1,4 +1,4 @@
-//! The requests that are sent to no upstream for now.
+//! The requests that are currently refused since they crash upstreams.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use super::{CrashReport, Quarantined};
 use crate::fingerprint::Fingerprint;
 
-/// How long after its term a request is remembered: the next crash under it
-/// suffices then to keep it away again.
-const REMEMBERED: Duration = Duration::from_secs(24 * 3_600);
+/// How long an entry is kept after its term, in seconds (one day). While it is
+/// kept, a single crash of its request suffices to refuse the request again.
+const RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// Requests kept; the one whose term ends first is evicted.
+/// Maximum number of entries; the one whose term ends first is evicted.
 const MAX_ENTRIES: usize = 1_024;
 
 /// The outcome of [`Quarantine::admit`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It is new; the request evicted for it, if any.
+    /// The entry was added; carries the request evicted for it, if any.
     New(Option<Fingerprint>),
-    /// It, or a later one, was known.
+    /// This entry, or a later one of the same request, was known.
     Known,
-    /// It has expired.
+    /// The entry has expired.
     Over,
 }
 
-/// The requests that are kept from upstreams. Times are since the Unix epoch:
-/// entries outlive the hosts that found them.
+/// The requests that are refused. Times are since the Unix epoch, as entries
+/// outlive the processes that detected them.
 ///
-/// Limits: if the term began anew with each attempt, a request found wrongly,
-/// or fixed since, would be refused for ever; one that still crashes costs an
-/// upstream each time it is tried. So terms end, and double.
+/// Limits: if the term were restarted by each attempt, a request detected by
+/// mistake, or harmless since a fix, would be refused for ever. One that still
+/// crashes upstreams costs one each time it is tried. So terms end, and double.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,38 +49,38 @@
 }
 
 impl Quarantine {
-    /// No requests.
+    /// An empty quarantine.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Requests remembered, refused or not.
+    /// Number of entries, including those past their terms.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Times that the requests remembered were found: equal on hosts that know
-    /// the same entries.
+    /// Number of detections over all entries. It is equal on hosts that have the same
+    /// entries, so hosts compare it.
     pub fn extent(&self) -> u64 {
         self.entries.values().map(|v| u64::from(v.repeats) + 1).sum()
     }
 
-    /// Adds an entry learnt at `now`.
+    /// Adds an entry that was received at `now`.
     pub fn admit(&mut self, entry: Quarantined, now: Duration) -> Admission {
-        if now >= entry.until() + REMEMBERED {
+        if now >= entry.until() + RETENTION {
             return Admission::Over;
         }
         match self.entries.get(&entry.request) {
             Some(known) if known.repeats >= entry.repeats => return Admission::Known,
             _ => {}
         }
-        let full = self.len() >= MAX_ENTRIES && !self.entries.contains_key(&entry.request);
-        let evicted = match full {
+        let is_full = self.len() >= MAX_ENTRIES && !self.entries.contains_key(&entry.request);
+        let evicted = match is_full {
             true => self.entries.values().min_by_key(|v| (v.until(), v.request)),
             false => None,
         };
@@ -92,39 +92,39 @@
         Admission::New(evicted)
     }
 
-    /// For how long from `now` on `request` is refused.
+    /// For how long from `now` on `request` is refused; `None` if it is not.
     pub fn refuses(&self, request: Fingerprint, now: Duration) -> Option<Duration> {
         let left = self.entries.get(&request)?.until().checked_sub(now)?;
         (!left.is_zero()).then_some(left)
     }
 
-    /// The entry of a request that was tried once more after its term, and
-    /// under which an upstream crashed again, as reported at `now`.
+    /// The next entry of a request that was tried again after its term and that
+    /// crashed an upstream again, as `report`, received at `now`, says.
     pub fn again(&self, report: &CrashReport, now: Duration) -> Option<Quarantined> {
         let former = self.entries.get(&report.request)?;
-        let tried = now.checked_sub(former.until())?;
-        // It ran to its end since: this crash has another cause.
-        let fixed = report.well.is_some_and(|age| age < tried);
+        let since_term = now.checked_sub(former.until())?;
+        // It has completed since its term ended: this crash has another cause.
+        let is_harmless = report.well.is_some_and(|age| age < since_term);
         let entry = Quarantined {
             request: report.request,
             upstreams: vec![report.upstream],
             at: now,
             repeats: former.repeats + 1,
         };
-        (!fixed).then_some(entry)
+        (!is_harmless).then_some(entry)
     }
 
     /// Removes the entries that have expired at `now`, and returns their requests.
     pub fn expire(&mut self, now: Duration) -> Vec<Fingerprint> {
-        let over = self.entries.values().filter(|v| now >= v.until() + REMEMBERED);
-        let over: Vec<Fingerprint> = over.map(|v| v.request).collect();
-        for request in &over {
+        let expired = self.entries.values().filter(|v| now >= v.until() + RETENTION);
+        let expired: Vec<Fingerprint> = expired.map(|v| v.request).collect();
+        for request in &expired {
             self.entries.remove(request);
         }
-        over
+        expired
     }
 
-    /// All entries remembered.
+    /// All entries, including those past their terms.
     pub fn entries(&self) -> impl Iterator<Item = &Quarantined> {
         self.entries.values()
     }
--- a/crates/core/src/poison/recent.rs
+++ b/crates/core/src/poison/recent.rs
@@ -1,14 +1,14 @@
-//! When requests last ran to their end.
+//! When requests last completed.
 
 use std::time::Duration;
 
 use crate::fingerprint::Fingerprint;
 
-/// Requests remembered: the last few minutes of a host.
+/// Number of slots: enough for the requests of the last few minutes of a host.
 const SLOTS: usize = 4_096;
 
-/// When requests last ran to their end, in a table of fixed size: of two that
-/// share a slot, the later is remembered.
+/// When requests last completed, in a hash table of fixed size: of two requests
+/// that share a slot, the one that completed later is kept.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,12 +25,12 @@
 }
 
 impl Recent {
-    /// Nothing remembered.
+    /// An empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// `request` ran to its end at `now`.
+    /// Records that `request` completed at `now`.
     pub fn note(&mut self, request: Fingerprint, now: Duration) {
         if self.slots.is_empty() {
             self.slots = vec![None; SLOTS];
@@ -38,7 +38,7 @@
         self.slots[slot(request)] = Some((request, now));
     }
 
-    /// How long ago at `now` `request` ran to its end.
+    /// How long before `now` `request` last completed; `None` if that is not known.
     pub fn age(&self, request: Fingerprint, now: Duration) -> Option<Duration> {
         let (known, at) = (*self.slots.get(slot(request))?)?;
         (known == request).then(|| now.saturating_sub(at))
--- a/crates/core/src/poison/suspect.rs
+++ b/crates/core/src/poison/suspect.rs
@@ -1,213 +1,236 @@
-//! One request that was at crashes, and how well it explains them.
+//! One suspect: a request that was in flight at crashes, and how well it explains
+//! them.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use super::CrashReport;
 
-/// Crashes at which a request must have been to count as their cause.
+/// Crashes at which a request must have been in flight to count as their cause.
 pub const CRASHES: usize = 3;
 
-/// Crashes needed of a request that may have been there by chance: it was sent
-/// on after a crash, or repeated because of it, to an upstream that crashed for
-/// another cause.
-const CRASHES_BY_CHANCE: usize = 5;
+/// Crashes needed for a request that may have been in flight by coincidence: it was
+/// resumed after a crash, or repeated because of it, at an upstream that crashed
+/// for another cause.
+const CRASHES_IF_COINCIDENTAL: usize = 5;
 
-/// Attempts from which a request is not taken to be there by chance: callers
-/// repeat a request once or twice.
+/// Number of attempts from which on coincidence is ruled out: callers repeat a
+/// request only once or twice.
 const MIN_ATTEMPTS: usize = 3;
 
-/// A request crashes upstreams at the same point of its run, within a factor
-/// and some steps of a busy engine.
-const RAN_FACTOR: u32 = 2;
-const RAN_SLACK: Duration = Duration::from_millis(100);
+/// A request that crashes upstreams does so at the same point of its run. Points
+/// count as the same if they are within this factor plus this time in
+/// milliseconds: a few steps of a busy engine.
+const SAME_POINT_FACTOR: u32 = 2;
+const SAME_POINT_SLACK: Duration = Duration::from_millis(100);
 
-/// Of two requests at the same crashes, the points of the cause are closer
-/// together by that factor and by more than this: a busy host notices a crash
-/// some milliseconds late.
-const POINT_SLACK: Duration = Duration::from_millis(20);
+/// Of two requests in flight at the same crashes, the cause is the one whose
+/// points are closer together, by the factor above and by more than this time in
+/// milliseconds: a busy host notices a crash some milliseconds late.
+const SPREAD_SLACK: Duration = Duration::from_millis(20);
 
-/// How long before the first crash a complete run still counts for a request.
-const GOOD_RUN_WINDOW: Duration = Duration::from_secs(60);
+/// How long before the first crash, in seconds, a completed run still counts in
+/// favour of a request.
+const COMPLETED_RUN_WINDOW: Duration = Duration::from_secs(60);
 
-/// How long a crash counts against a request.
+/// How long a crash counts against a request, in seconds (one hour).
 const CRASH_WINDOW: Duration = Duration::from_secs(3_600);
 
-/// Crashes remembered of one request.
-const MAX_SEEN: usize = 8;
+/// Maximum number of crashes kept for one request.
+const MAX_CRASHES: usize = 8;
 
-/// One crash at which a request was.
+/// One crash at which a request was in flight.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
-    /// Key of the upstream's life.
+pub struct Crash {
+    /// Key of the upstream's incarnation.
     pub upstream: u64,
     attempt: u64,
+    /// For how long the answer had been streamed, if that had begun.
     ran: Option<Duration>,
     /// When the crash was noticed, since the Unix epoch.
-    at: Duration,
-    /// When this host heard of it.
-    pub heard: Duration,
+    noticed_at: Duration,
+    /// When this host received the report.
+    pub received_at: Duration,
 }
 
-/// The crashes at which one request was.
+/// The crashes at which one request was in flight.
 #[derive(Debug, Clone, Default)]
 pub struct Suspect {
     /// These crashes.
-    pub seen: Vec<Seen>,
-    /// It was at enough of them.
-    pub full: bool,
-    /// A detection has considered it since the last crash, and did not find it.
-    pub judged: bool,
-    /// When it last ran to its end, since the Unix epoch.
-    well: Option<Duration>,
-    /// How many of them were all the crashes of a request found before.
+    pub crashes: Vec<Crash>,
+    /// Whether they are enough to count the request as their cause.
+    pub has_enough: bool,
+    /// Whether a detection has considered it since the last crash, without
+    /// detecting it.
+    pub evaluated: bool,
+    /// When it last completed, since the Unix epoch.
+    last_completed: Option<Duration>,
+    /// Number of its crashes that are the very ones of another request already
+    /// detected.
     tied: usize,
 }
 
-/// How well a request explains the crashes at which it was: by whether it ran
-/// well shortly before, by their number, by the attempts that were at them, by
-/// those that came after its answer had begun, and by how far apart the points of
-/// it are at which they came.
+/// How well a request explains the crashes at which it was in flight, in the order
+/// of significance: that it did not complete shortly before, the number of
+/// crashes, the number of attempts, the number of crashes after its answer had
+/// begun, and how close together the points of its run are at which they came.
 type Strength = (bool, usize, usize, usize, Reverse<Duration>);
 
 impl Suspect {
-    /// Adds a crash that was heard of at `now`. Crashes before a complete run
-    /// of the request had another cause, in whichever order they are reported.
+    /// Adds a crash whose report was received at `now`. Crashes before a completed
+    /// run of the request had another cause, in whichever order they are reported.
     pub fn add(&mut self, report: &CrashReport, now: Duration) {
         let CrashReport { upstream, attempt, ran, at, .. } = *report;
-        self.well = self.well.max(report.well.map(|age| at.saturating_sub(age)));
-        match self.seen.iter().position(|s| s.upstream == upstream) {
-            // Two of its attempts were there: the one that began first came to the
-            // point at which it crashes.
+        self.last_completed =
+            self.last_completed.max(report.well.map(|age| at.saturating_sub(age)));
+        match self.crashes.iter().position(|c| c.upstream == upstream) {
+            // Two attempts of the request were in flight. The one that had run longer
+            // reached the point at which the request crashes upstreams.
             Some(index) => {
-                let seen = &mut self.seen[index];
-                (seen.ran, seen.attempt) = (seen.ran, seen.attempt).max((ran, attempt));
+                let crash = &mut self.crashes[index];
+                (crash.ran, crash.attempt) = (crash.ran, crash.attempt).max((ran, attempt));
             }
-            None if self.seen.len() < MAX_SEEN => {
-                self.seen.push(Seen { upstream, attempt, ran, at, heard: now });
-                self.judged = false;
+            None if self.crashes.len() < MAX_CRASHES => {
+                self.crashes.push(Crash {
+                    upstream,
+                    attempt,
+                    ran,
+                    noticed_at: at,
+                    received_at: now,
+                });
+                self.evaluated = false;
             }
             None => {}
         }
-        let well = self.well;
-        self.keep(|s| at < s.at + CRASH_WINDOW && well.is_none_or(|well| well <= s.at));
-        if self.is_enough() {
-            self.full = true;
+        let completed = self.last_completed;
+        self.retain(|c| {
+            at < c.noticed_at + CRASH_WINDOW
+                && completed.is_none_or(|completed| completed <= c.noticed_at)
+        });
+        if self.meets_threshold() {
+            self.has_enough = true;
         }
     }
 
-    /// The crashes of `upstreams` are explained by another request: they no
-    /// longer count against this one, unless it was at all of them as well in
-    /// several attempts. The next crash decides between the two.
+    /// Removes the crashes of `upstreams`, which another request explains, unless
+    /// they are all the crashes of this one, which was in flight there in several
+    /// attempts. In that case they are kept as tied, and the next crash decides
+    /// between the two.
     pub fn explain(&mut self, upstreams: &[u64]) {
-        let explained = |s: &Seen| upstreams.contains(&s.upstream);
-        let same = self.seen.len() >= upstreams.len() && self.seen.iter().all(explained);
-        match same && self.attempts() > 1 && self.seen.len() >= self.needed() {
-            true => (self.tied, self.full) = (self.seen.len(), false),
-            false => self.keep(|s| !explained(s)),
+        let explained = |c: &Crash| upstreams.contains(&c.upstream);
+        let same = self.crashes.len() >= upstreams.len() && self.crashes.iter().all(explained);
+        match same && self.attempts() > 1 && self.crashes.len() >= self.required_crashes() {
+            true => (self.tied, self.has_enough) = (self.crashes.len(), false),
+            false => self.retain(|c| !explained(c)),
         }
     }
 
-    /// Keeps the crashes of which `keep` holds.
-    pub fn keep(&mut self, keep: impl Fn(&Seen) -> bool) {
-        self.seen.retain(keep);
-        if self.seen.len() < self.needed() {
-            self.full = false;
+    /// Removes the crashes for which `keep` is false.
+    pub fn retain(&mut self, keep: impl Fn(&Crash) -> bool) {
+        self.crashes.retain(keep);
+        if self.crashes.len() < self.required_crashes() {
+            self.has_enough = false;
         }
     }
 
-    /// Whether it was at enough crashes to count as their cause: more than those that
-    /// another explains.
-    pub fn is_enough(&self) -> bool {
-        self.seen.len() >= self.needed() && self.seen.len() > self.tied
+    /// Whether it was in flight at enough crashes to count as their cause, and at more
+    /// than the tied ones.
+    pub fn meets_threshold(&self) -> bool {
+        self.crashes.len() >= self.required_crashes() && self.crashes.len() > self.tied
     }
 
-    /// Whether it was at enough crashes, and no detection has considered them all.
-    pub fn is_unjudged(&self) -> bool {
-        self.full && !self.judged
+    /// Whether its crashes are enough, and no detection has considered them all.
+    pub fn is_unevaluated(&self) -> bool {
+        self.has_enough && !self.evaluated
     }
 
-    /// Whether it may have been at its crashes by chance.
-    pub fn is_doubtful(&self) -> bool {
-        self.attempts() < MIN_ATTEMPTS && self.seen.len() < CRASHES_BY_CHANCE
+    /// Whether it may have been in flight at its crashes by coincidence.
+    pub fn may_be_coincidental(&self) -> bool {
+        self.attempts() < MIN_ATTEMPTS && self.crashes.len() < CRASHES_IF_COINCIDENTAL
     }
 
-    /// Attempts under which it was at the crashes.
+    /// Number of its attempts that were in flight at the crashes.
     fn attempts(&self) -> usize {
-        let mut attempts: Vec<u64> = self.seen.iter().map(|s| s.attempt).collect();
+        let mut attempts: Vec<u64> = self.crashes.iter().map(|c| c.attempt).collect();
         attempts.sort_unstable();
         attempts.dedup();
         attempts.len()
     }
 
-    /// The first and the last point of it at which a crash came; the answer of one
-    /// that crashes what runs it at once may not have begun for its host.
-    fn points(&self) -> (Duration, Duration) {
-        let ran = self.seen.iter().map(|s| s.ran.unwrap_or_default());
+    /// The earliest and the latest point of its run at which a crash came, by how long
+    /// its answer had been streamed. Zero if that had not begun, as with a request
+    /// that crashes upstreams at once.
+    fn crash_points(&self) -> (Duration, Duration) {
+        let ran = self.crashes.iter().map(|c| c.ran.unwrap_or_default());
         (ran.clone().min().unwrap_or_default(), ran.max().unwrap_or_default())
     }
 
-    /// Whether the crashes came at the same point of it.
-    fn is_steady(&self) -> bool {
-        let (min, max) = self.points();
-        max <= min * RAN_FACTOR + RAN_SLACK
+    /// Whether the crashes came at the same point of its run.
+    fn crashes_at_same_point(&self) -> bool {
+        let (min, max) = self.crash_points();
+        max <= min * SAME_POINT_FACTOR + SAME_POINT_SLACK
     }
 
-    /// Whether it ran to its end shortly before the first of the crashes: a
-    /// request that many callers send is present at any crash.
-    fn ran_well(&self) -> bool {
-        let first = self.seen.iter().map(|s| s.at).min().unwrap_or_default();
-        self.well.is_some_and(|well| first <= well + GOOD_RUN_WINDOW)
+    /// Whether it completed shortly before the first of the crashes: a request that
+    /// many callers send is in flight at any crash.
+    fn completed_before(&self) -> bool {
+        let first = self.crashes.iter().map(|c| c.noticed_at).min().unwrap_or_default();
+        self.last_completed.is_some_and(|completed| first <= completed + COMPLETED_RUN_WINDOW)
     }
 
-    /// Crashes needed for it to count as their cause.
-    pub fn needed(&self) -> usize {
-        match self.attempts() >= MIN_ATTEMPTS || self.is_steady() {
-            true if !self.ran_well() => CRASHES,
-            _ => CRASHES_BY_CHANCE,
+    /// Number of crashes needed for it to count as their cause.
+    pub fn required_crashes(&self) -> usize {
+        match self.attempts() >= MIN_ATTEMPTS || self.crashes_at_same_point() {
+            true if !self.completed_before() => CRASHES,
+            _ => CRASHES_IF_COINCIDENTAL,
         }
     }
 
     /// How well it explains its crashes.
     pub fn strength(&self) -> Strength {
-        let begun = self.seen.iter().filter(|s| s.ran.is_some()).count();
-        let never = !self.ran_well();
-        (never, self.seen.len(), self.attempts(), begun, Reverse(self.spread()))
+        let begun = self.crashes.iter().filter(|c| c.ran.is_some()).count();
+        let not_completed = !self.completed_before();
+        (not_completed, self.crashes.len(), self.attempts(), begun, Reverse(self.point_spread()))
     }
 
-    /// How far apart the points of it are at which the crashes came.
-    fn spread(&self) -> Duration {
-        let (min, max) = self.points();
+    /// How far apart the points of its run are at which the crashes came.
+    fn point_spread(&self) -> Duration {
+        let (min, max) = self.crash_points();
         max - min
     }
 
-    /// Whether it explains crashes of `other` as well as that does. Requests
-    /// that come back meet two crashes by chance where many causes are at work.
-    pub fn rivals(&self, other: &Self) -> bool {
-        let theirs = |s: &Seen| other.seen.iter().find(|o| o.upstream == s.upstream).copied();
-        let shared: Vec<(Seen, Seen)> =
-            self.seen.iter().filter_map(|s| Some((*s, theirs(s)?))).collect();
+    /// Whether this suspect explains some of the crashes of `other` at least as well:
+    /// each of its crashes came under a new attempt, and it was in flight also at a
+    /// crash where `other` was not, or had begun later than `other` at each shared
+    /// one. Two crashes are not enough for that unless `other` had one attempt only:
+    /// with many causes of crashes, requests that are sent again are in flight at
+    /// two by coincidence.
+    pub fn competes_with(&self, other: &Self) -> bool {
+        let theirs = |c: &Crash| other.crashes.iter().find(|o| o.upstream == c.upstream).copied();
+        let shared: Vec<(Crash, Crash)> =
+            self.crashes.iter().filter_map(|c| Some((*c, theirs(c)?))).collect();
         let later = shared.iter().all(|(own, theirs)| own.ran.is_some() && own.ran < theirs.ran);
-        self.attempts() == self.seen.len()
-            && (self.seen.len() >= CRASHES || other.attempts() == 1)
+        self.attempts() == self.crashes.len()
+            && (self.crashes.len() >= CRASHES || other.attempts() == 1)
             && !shared.is_empty()
-            && (shared.len() < self.seen.len() || later)
+            && (shared.len() < self.crashes.len() || later)
     }
 
-    /// Whether `other` explains the same crashes as well, and too few to decide
-    /// between the two.
+    /// Whether `other` explains the crashes of this suspect as well as this one does,
+    /// and they are too few to decide between the two.
     pub fn ties(&self, other: &Self) -> bool {
-        let (never, count, attempts, begun, _) = self.strength();
-        let (never_other, count_other, attempts_other, begun_other, _) = other.strength();
-        let shared = |s: &Seen| other.seen.iter().any(|o| o.upstream == s.upstream);
-        (never, count, attempts, begun) == (never_other, count_other, attempts_other, begun_other)
-            && count < CRASHES_BY_CHANCE
-            && self.seen.iter().all(shared)
-            && other.spread() < self.spread() * RAN_FACTOR + POINT_SLACK
+        let (not_completed, count, attempts, begun, _) = self.strength();
+        let (not_completed_other, count_other, attempts_other, begun_other, _) = other.strength();
+        let shared = |c: &Crash| other.crashes.iter().any(|o| o.upstream == c.upstream);
+        (not_completed, count, attempts, begun)
+            == (not_completed_other, count_other, attempts_other, begun_other)
+            && count < CRASHES_IF_COINCIDENTAL
+            && self.crashes.iter().all(shared)
+            && other.point_spread() < self.point_spread() * SAME_POINT_FACTOR + SPREAD_SLACK
     }
 
     /// The upstreams that crashed.
     pub fn upstreams(&self) -> Vec<u64> {
-        self.seen.iter().map(|s| s.upstream).collect()
+        self.crashes.iter().map(|c| c.upstream).collect()
     }
 }
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -1,4 +1,4 @@
-//! Which request crashed the upstreams, from what hosts saw of the crashes.
+//! Detects which request crashed the upstreams, from the crash reports of all hosts.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use lru::LruCache;
 
 use super::CrashReport;
-use super::suspect::{CRASHES, Seen, Suspect};
+use super::suspect::{CRASHES, Crash, Suspect};
 use crate::fingerprint::Fingerprint;
 
-/// Time after the last of these crashes in which all hosts report on it, where they
-/// tell each other at once.
+/// Time in milliseconds after the first report of a crash within which all hosts
+/// have reported on it, where they notify each other at once.
 pub const SETTLE: Duration = Duration::from_millis(100);
 
-/// Requests remembered that were at one crash, and at several. Kept apart, so
-/// that callers with ever new bodies cannot evict a request that was at two.
-const MAX_ONCE: usize = 4_096;
-const MAX_OFTEN: usize = 1_024;
+/// Maximum number of suspects with one crash and with several. They are kept
+/// apart so that callers with ever new bodies cannot evict a request with two
+/// crashes.
+const MAX_WITH_ONE: usize = 4_096;
+const MAX_WITH_SEVERAL: usize = 1_024;
 
-/// Crashes remembered that are explained, and that were reported.
+/// Maximum number of crashes kept that are explained, and that have been reported.
 const MAX_EXPLAINED: usize = 1_024;
-const MAX_HEARD: usize = 1_024;
+const MAX_REPORTED: usize = 1_024;
 
-/// The requests that were at crashes not yet explained.
+/// The requests that were in flight at crashes not yet explained.
 ///
 /// ```
 /// use std::time::Duration;
@@ -42,23 +43,23 @@
 /// ```
 #[derive(Debug)]
 pub struct Suspects {
-    once: LruCache<Fingerprint, Suspect>,
-    often: LruCache<Fingerprint, Suspect>,
-    /// Upstreams that crashed under a request already found.
+    with_one_crash: LruCache<Fingerprint, Suspect>,
+    with_several_crashes: LruCache<Fingerprint, Suspect>,
+    /// Incarnations of upstreams that a request already detected has crashed.
     explained: LruCache<u64, ()>,
-    /// When the first report of each crash was heard.
-    heard: LruCache<u64, Duration>,
-    /// Time after a crash in which all hosts report on it.
+    /// When the first report of each crash was received.
+    first_reports: LruCache<u64, Duration>,
+    /// Time after the first report of a crash within which all hosts report on it.
     settle: Duration,
 }
 
 impl Default for Suspects {
     fn default() -> Self {
         Self {
-            once: LruCache::unbounded(),
-            often: LruCache::unbounded(),
+            with_one_crash: LruCache::unbounded(),
+            with_several_crashes: LruCache::unbounded(),
             explained: LruCache::unbounded(),
-            heard: LruCache::unbounded(),
+            first_reports: LruCache::unbounded(),
             settle: SETTLE,
         }
     }
@@ -70,14 +71,15 @@
         Self::default()
     }
 
-    /// No suspects; all hosts report on a crash within `settle` of the first report.
+    /// No suspects, where all hosts report on a crash within `settle` of the first
+    /// report.
     pub fn with_settle(settle: Duration) -> Self {
         Self { settle, ..Self::default() }
     }
 
-    /// Requests remembered.
+    /// Number of suspects.
     pub fn len(&self) -> usize {
-        self.once.len() + self.often.len()
+        self.with_one_crash.len() + self.with_several_crashes.len()
     }
 
     /// Whether there are no suspects.
@@ -85,34 +87,35 @@
         self.len() == 0
     }
 
-    /// Whether `request` was at a crash.
+    /// Whether `request` was in flight at a crash that is not explained.
     pub fn contains(&self, request: Fingerprint) -> bool {
-        self.often.contains(&request) || self.once.contains(&request)
+        self.with_several_crashes.contains(&request) || self.with_one_crash.contains(&request)
     }
 
-    /// Adds a host's report, heard at `now`.
+    /// Adds a host's report, received at `now`.
     pub fn add(&mut self, report: &CrashReport, now: Duration) {
         if self.explained.contains(&report.upstream) {
             return;
         }
-        if !self.heard.contains(&report.upstream) {
-            self.heard.put(report.upstream, now);
+        if !self.first_reports.contains(&report.upstream) {
+            self.first_reports.put(report.upstream, now);
         }
-        if self.heard.len() > MAX_HEARD {
-            self.heard.pop_lru();
+        if self.first_reports.len() > MAX_REPORTED {
+            self.first_reports.pop_lru();
         }
         let request = report.request;
-        let known = self.often.pop(&request).or_else(|| self.once.pop(&request));
+        let known =
+            self.with_several_crashes.pop(&request).or_else(|| self.with_one_crash.pop(&request));
         let mut suspect = known.unwrap_or_default();
         suspect.add(report, now);
         self.put(request, suspect);
     }
 
     fn put(&mut self, request: Fingerprint, suspect: Suspect) {
-        let (list, limit) = match suspect.seen.len() {
+        let (list, limit) = match suspect.crashes.len() {
             0 => return,
-            1 => (&mut self.once, MAX_ONCE),
-            _ => (&mut self.often, MAX_OFTEN),
+            1 => (&mut self.with_one_crash, MAX_WITH_ONE),
+            _ => (&mut self.with_several_crashes, MAX_WITH_SEVERAL),
         };
         list.put(request, suspect);
         if list.len() > limit {
@@ -120,13 +123,17 @@
         }
     }
 
-    /// `request` ran to its end: it did not cause the crashes before. False if
-    /// it was at none.
+    /// Removes `request` from the suspects: it has completed, so it did not cause the
+    /// crashes before. False if it was no suspect.
     pub fn clear(&mut self, request: Fingerprint) -> bool {
-        self.often.pop(&request).or_else(|| self.once.pop(&request)).is_some()
+        self.with_several_crashes
+            .pop(&request)
+            .or_else(|| self.with_one_crash.pop(&request))
+            .is_some()
     }
 
-    /// The crashes of `upstreams` are explained: they count against no request.
+    /// Records that the crashes of `upstreams` are explained: from now on they count
+    /// against no other request.
     pub fn explain(&mut self, upstreams: &[u64]) {
         let new: Vec<u64> =
             upstreams.iter().copied().filter(|u| !self.explained.contains(u)).collect();
@@ -136,121 +143,138 @@
         while self.explained.len() > MAX_EXPLAINED {
             self.explained.pop_lru();
         }
-        self.change(|s| new.contains(&s.upstream), |suspect| suspect.explain(upstreams));
+        self.change(|c| new.contains(&c.upstream), |suspect| suspect.explain(upstreams));
     }
 
-    /// Drops crashes of upstreams that were alive afterwards: `lives` says
-    /// whether one was after a given time. Checks only suspects that are about
-    /// to be found.
+    /// Removes reported crashes of upstreams that were alive afterwards: `lives` says
+    /// whether an upstream was alive after a given time. Checks only suspects that
+    /// are about to be detected.
     pub fn refute(&mut self, now: Duration, lives: impl Fn(u64, Duration) -> bool) {
-        let ripe = self.ripe(now);
-        let mut wrong: Vec<u64> = ripe
+        let candidates = self.candidates(now);
+        let mut alive: Vec<u64> = candidates
             .iter()
-            .flat_map(|(_, s)| s.seen.iter())
-            .filter(|seen| lives(seen.upstream, seen.heard))
-            .map(|seen| seen.upstream)
+            .flat_map(|(_, s)| s.crashes.iter())
+            .filter(|crash| lives(crash.upstream, crash.received_at))
+            .map(|crash| crash.upstream)
             .collect();
-        wrong.sort_unstable();
-        wrong.dedup();
-        let wrong = |s: &Seen| wrong.contains(&s.upstream);
-        self.change(wrong, |suspect| suspect.keep(|s| !wrong(s)));
+        alive.sort_unstable();
+        alive.dedup();
+        let refuted = |c: &Crash| alive.contains(&c.upstream);
+        self.change(refuted, |suspect| suspect.retain(|c| !refuted(c)));
     }
 
-    /// Changes the suspects that were at a crash of which `hit` holds.
-    fn change(&mut self, hit: impl Fn(&Seen) -> bool, change: impl Fn(&mut Suspect)) {
-        let hits = |list: &LruCache<Fingerprint, Suspect>| {
-            let hits = list.iter().filter(|(_, s)| s.seen.iter().any(&hit));
-            hits.map(|(r, _)| *r).collect::<Vec<_>>()
+    /// Applies `change` to the suspects with a crash for which `matches` is true.
+    fn change(&mut self, matches: impl Fn(&Crash) -> bool, change: impl Fn(&mut Suspect)) {
+        let matching = |list: &LruCache<Fingerprint, Suspect>| {
+            let matching = list.iter().filter(|(_, s)| s.crashes.iter().any(&matches));
+            matching.map(|(r, _)| *r).collect::<Vec<_>>()
         };
-        for request in [hits(&self.once), hits(&self.often)].concat() {
-            let known = self.often.pop(&request).or_else(|| self.once.pop(&request));
-            let mut suspect = known.expect("just found");
+        for request in
+            [matching(&self.with_one_crash), matching(&self.with_several_crashes)].concat()
+        {
+            let known = self
+                .with_several_crashes
+                .pop(&request)
+                .or_else(|| self.with_one_crash.pop(&request));
+            let mut suspect = known.expect("taken from one of the two lists");
             change(&mut suspect);
             self.put(request, suspect);
         }
     }
 
-    /// Whether any suspect was at enough crashes.
+    /// Whether any suspect was in flight at enough crashes to be detected.
     pub fn is_pending(&self) -> bool {
-        self.often.iter().any(|(_, s)| s.full)
+        self.with_several_crashes.iter().any(|(_, s)| s.has_enough)
     }
 
-    /// Whether any suspect was at enough crashes and is still to be judged.
+    /// Whether any suspect was in flight at enough crashes and no detection has
+    /// considered them all.
     pub fn is_unjudged(&self) -> bool {
-        self.often.iter().any(|(_, s)| s.is_unjudged())
+        self.with_several_crashes.iter().any(|(_, s)| s.is_unevaluated())
     }
 
-    /// Whether `request` was at enough crashes and is still to be judged: sent
-    /// meanwhile, it may crash one more upstream.
+    /// Whether `request` is to be held back: it was in flight at enough crashes, and
+    /// no detection has considered them all. If it were sent meanwhile, it might
+    /// crash one more upstream.
     pub fn withholds(&self, request: Fingerprint) -> bool {
-        self.often.peek(&request).is_some_and(Suspect::is_unjudged)
+        self.with_several_crashes.peek(&request).is_some_and(Suspect::is_unevaluated)
     }
 
-    /// Whether one more crash may complete those of `request`.
+    /// Whether one more crash may suffice to detect `request`.
     pub fn is_close(&self, request: Fingerprint) -> bool {
-        self.often.peek(&request).is_some_and(|s| s.seen.len() + 1 >= CRASHES)
+        self.with_several_crashes.peek(&request).is_some_and(|s| s.crashes.len() + 1 >= CRASHES)
     }
 
-    /// Whether a suspect that may have been at its crashes by chance shares one
-    /// with another that was sent anew each time, and that was also at a crash
-    /// where this one was not, or had begun later than this one each time.
-    fn has_rival(&self, suspect: &Suspect) -> bool {
-        suspect.is_doubtful() && self.often.iter().any(|(_, other)| other.rivals(suspect))
+    /// Whether another suspect explains crashes of `suspect` better, where `suspect`
+    /// may have been in flight by coincidence: the other one shares a crash, came
+    /// under a new attempt each time, and was also in flight at a crash where
+    /// `suspect` was not, or had begun later than `suspect` each time.
+    fn has_competitor(&self, suspect: &Suspect) -> bool {
+        suspect.may_be_coincidental()
+            && self.with_several_crashes.iter().any(|(_, other)| other.competes_with(suspect))
     }
 
     /// Whether hosts may still be reporting on a crash at `now`.
-    fn is_open(&self, crash: &Seen, now: Duration) -> bool {
-        let heard = self.heard.peek(&crash.upstream);
-        heard.is_some_and(|at| (*at..*at + self.settle).contains(&now))
+    fn is_open(&self, crash: &Crash, now: Duration) -> bool {
+        let reported = self.first_reports.peek(&crash.upstream);
+        reported.is_some_and(|at| (*at..*at + self.settle).contains(&now))
     }
 
-    /// The suspects that were at enough crashes on which all hosts have had the
-    /// time to report, with these crashes only: any other counts against those that
-    /// were reported first, and not yet against its cause.
-    fn ripe(&self, now: Duration) -> Vec<(Fingerprint, Suspect)> {
-        let full = self.often.iter().filter(|(_, s)| s.full);
-        let settled = full.map(|(request, suspect)| {
+    /// The suspects with enough crashes on which all hosts have had the time to
+    /// report, with these crashes only. Any later crash counts so far only against
+    /// the requests that were reported first, and perhaps not yet against its
+    /// cause.
+    fn candidates(&self, now: Duration) -> Vec<(Fingerprint, Suspect)> {
+        let complete = self.with_several_crashes.iter().filter(|(_, s)| s.has_enough);
+        let settled = complete.map(|(request, suspect)| {
             let mut settled = suspect.clone();
-            settled.seen.retain(|s| !self.is_open(s, now));
+            settled.crashes.retain(|c| !self.is_open(c, now));
             (*request, settled)
         });
-        settled.filter(|(_, s)| s.is_enough() && !self.has_rival(s)).collect()
+        settled.filter(|(_, s)| s.meets_threshold() && !self.has_competitor(s)).collect()
     }
 
-    /// The requests that explain the crashes best, each with the upstreams
-    /// that crashed, once all hosts have had the time to report. Of several that
-    /// were at the same crashes none is found: the next crash decides.
+    /// Detects the requests that explain the crashes best, once all hosts have had
+    /// the time to report, and returns each with the upstreams that it crashed. Of
+    /// several in flight at the same crashes none is detected: the next crash
+    /// decides.
     pub fn detect(&mut self, now: Duration) -> Vec<(Fingerprint, Vec<u64>)> {
-        let mut ripe = self.ripe(now);
-        ripe.sort_unstable_by_key(|(request, s)| Reverse((s.strength(), *request)));
-        let mut found: Vec<(Fingerprint, Vec<u64>)> = Vec::new();
-        let mut taken: Vec<u64> = Vec::new();
-        for (request, suspect) in &ripe {
-            let open = suspect.seen.iter().filter(|s| !taken.contains(&s.upstream)).count();
-            if open < suspect.needed() {
+        let mut candidates = self.candidates(now);
+        candidates.sort_unstable_by_key(|(request, s)| Reverse((s.strength(), *request)));
+        let mut detected: Vec<(Fingerprint, Vec<u64>)> = Vec::new();
+        let mut attributed: Vec<u64> = Vec::new();
+        for (request, suspect) in &candidates {
+            let unattributed =
+                suspect.crashes.iter().filter(|c| !attributed.contains(&c.upstream)).count();
+            if unattributed < suspect.required_crashes() {
                 continue;
             }
-            taken.extend(suspect.upstreams());
-            if !ripe.iter().any(|(other, s)| other != request && suspect.ties(s)) {
-                found.push((*request, suspect.upstreams()));
+            attributed.extend(suspect.upstreams());
+            if !candidates.iter().any(|(other, s)| other != request && suspect.ties(s)) {
+                detected.push((*request, suspect.upstreams()));
             }
         }
-        let judged = |s: &Suspect| s.full && !s.seen.iter().any(|c| self.is_open(c, now));
-        let judged: Vec<Fingerprint> =
-            self.often.iter().filter(|(_, s)| judged(s)).map(|(request, _)| *request).collect();
-        for (request, suspect) in self.often.iter_mut() {
-            suspect.judged |= judged.contains(request);
+        let is_settled =
+            |s: &Suspect| s.has_enough && !s.crashes.iter().any(|c| self.is_open(c, now));
+        let evaluated: Vec<Fingerprint> = self
+            .with_several_crashes
+            .iter()
+            .filter(|(_, s)| is_settled(s))
+            .map(|(request, _)| *request)
+            .collect();
+        for (request, suspect) in self.with_several_crashes.iter_mut() {
+            suspect.evaluated |= evaluated.contains(request);
         }
-        for (request, upstreams) in &mut found {
-            // Also the crashes on which some hosts are still to report.
-            if let Some(suspect) = self.often.peek(request) {
+        for (request, upstreams) in &mut detected {
+            // Includes crashes on which some hosts have not reported yet.
+            if let Some(suspect) = self.with_several_crashes.peek(request) {
                 *upstreams = suspect.upstreams();
             }
         }
-        for (request, upstreams) in &found {
+        for (request, upstreams) in &detected {
             self.clear(*request);
             self.explain(upstreams);
         }
-        found
+        detected
     }
 }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,25 +1,27 @@
-//! How much each workspace may send, over all hosts together.
+//! Request quotas of workspaces, enforced over all hosts together.
 //!
-//! Load pattern: one workspace sends many times what it usually does, through
-//! all hosts at once. Its quota is a token bucket over all of them, and a
-//! host's part of that is less than one large prompt: with 69 hosts 8,000 units
-//! a second against 17,000. Fixed parts would refuse requests of workspaces that
+//! Load pattern: one workspace sends many times its usual load, through all hosts
+//! at once. Its quota is a token bucket over all hosts, and one host's part of
+//! that is less than one large prompt: with 69 hosts, 8,000 units a second
+//! against 17,000. Fixed parts would refuse requests of workspaces that
 //! are far below their quota, since callers choose hosts unevenly.
 //!
-//! Limits: each host tells two others, which account for the workspace
-//! ([`ledger`]), what was asked of it and what it admitted. They hold the bucket
-//! of all hosts that are heard, and answer which part of the requests may pass.
-//! A host refuses that part of them at random ([`gate`]), whatever their
-//! size. What it is told is as old as [`REPORT_INTERVAL`] and the way; the excess
-//! of that time is taken off later.
+//! Limits: each host reports the demand that it sees and the units that it
+//! admitted to two other hosts, the quota coordinators of the workspace
+//! ([`ledger`]). They keep one token bucket for all reachable hosts, and answer
+//! with the admission ratio: the fraction of requests to admit. A host admits
+//! requests at random with that probability ([`gate`]), whatever their size. The
+//! ratio is as old as [`REPORT_INTERVAL`] plus the network delay; what was
+//! admitted in excess during that time is charged later.
 //!
-//! A host that no account answers keeps to its share of a window, as it was when
-//! it was last answered, and the account keeps that share back from the bucket of
-//! the others for [`RESERVED`]. All shares together are never more than the quota:
-//! a host's is raised only by what others have reported to have given up. So both
-//! sides of a cut together stay within the quota, at whatever moment it comes.
-//! Hosts that have just started know no share and take an equal one, of the
-//! time since their start only: what was admitted before is not known any more.
+//! A host that no coordinator answers keeps to its share of the quota in each
+//! window, as in the last answer that it received, and the coordinators reserve
+//! that share in the bucket of the others for [`RESERVED`]. All shares together
+//! are never more than the quota: a host's share is raised only by what other
+//! hosts have reported to have given up. So both sides of a network partition
+//! together stay within the quota, at whatever moment it begins. Hosts that have
+//! just started have received no share and use an equal one, counted only over
+//! the time since their start: what they admitted before is no longer known.
 
 mod flow;
 pub mod gate;
@@ -30,23 +32,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Time between two reports of a host to the accounts.
+/// Time in milliseconds between two reports of a host to the coordinators.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long an answer of an account holds: one report or answer may be lost.
+/// How long an answer of a coordinator is valid, in milliseconds: more than two
+/// report intervals, so that one report or answer may be lost.
 pub const ANSWER_SPAN: Duration = Duration::from_millis(600);
 
-/// How long the share of a host that is not heard is kept back from the others.
+/// How long the share of an unreachable host is reserved, in seconds.
 pub const RESERVED: Duration = Duration::from_secs(30);
 
-/// Hosts that account for a workspace.
+/// Number of quota coordinators of a workspace.
 pub const ACCOUNTS: usize = 2;
 
-/// Workspaces with quotas that one pair of accounts takes.
-const GROUP: usize = 64;
+/// Number of workspaces with quotas per pair of coordinators.
+const GROUP_SIZE: usize = 64;
 
-/// Part of what the operators tolerate beyond the quota that is used up on
-/// purpose; the rest covers reports that are late.
+/// Fraction of the tolerated overage that is used on purpose; the rest covers late
+/// reports.
 const USED_TOLERANCE: f64 = 0.25;
 
 /// What a quota counts.
@@ -54,9 +57,9 @@
 pub enum Unit {
     /// Requests.
     Requests,
-    /// Tokens to be read and written.
+    /// Prompt tokens and completion tokens.
     Tokens {
-        /// What a request counts that does not state its tokens.
+        /// Units charged for a request that does not state its tokens.
         unstated: u64,
     },
 }
@@ -80,16 +83,16 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// What it counts.
+    /// What is counted.
     pub unit: Unit,
     /// Units a second.
     pub rate: f64,
-    /// Units beyond the rate that may be used at once.
+    /// Size of the token bucket: units beyond the rate that may be used at once.
     pub burst: f64,
 }
 
 impl Quota {
-    /// What a request counts that states `tokens`.
+    /// Units charged for a request that states `tokens`.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             Unit::Requests => 1,
@@ -98,33 +101,33 @@
     }
 }
 
-/// By how much the operators let the requests of a window exceed a quota.
+/// By how much the operators allow the requests of a window to exceed a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tolerance {
     /// The window.
     pub window: Duration,
-    /// As a share of the quota.
+    /// As a fraction of what the quota allows in the window.
     pub overage: f64,
-    /// In units, beyond that share.
+    /// In units, in addition to that fraction.
     pub slack: f64,
 }
 
-/// A quota as hosts keep to it.
+/// A quota with its tolerance, as hosts enforce it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     /// The quota.
     pub quota: Quota,
-    /// What is tolerated beyond it.
+    /// The overage that is tolerated.
     pub tolerance: Tolerance,
 }
 
 impl Limit {
-    /// Units that a window may hold by the quota alone.
+    /// Units that may be admitted in a window by the quota alone.
     pub fn window(&self) -> f64 {
         self.quota.rate * self.tolerance.window.as_secs_f64() + self.quota.burst
     }
 
-    /// Units that a window may hold with all that is tolerated.
+    /// Units that may be admitted in a window with the whole tolerance.
     ///
     /// ```
     /// use std::time::Duration;
@@ -138,14 +141,14 @@
         self.window() * (1.0 + self.tolerance.overage) + self.tolerance.slack
     }
 
-    /// Units by which the bucket may be overdrawn while all requests still pass.
+    /// Units by which the bucket may be overdrawn before requests are refused.
     fn credit(&self) -> f64 {
         USED_TOLERANCE * (self.bound() - self.window())
     }
 }
 
-/// The pair of accounts, of `workspaces` with quotas in all, that takes the
-/// one with the hashed name `workspace`.
+/// The group of workspaces, each coordinated by one pair of hosts, that the one
+/// with the hashed name `workspace` belongs to, where `workspaces` have quotas.
 ///
 /// ```
 /// use marjoram_core::quota::group;
@@ -153,5 +156,5 @@
 /// assert!((0..1_000u64).all(|workspace| group(workspace, 1_500) < 24));
 /// ```
 pub fn group(workspace: u64, workspaces: usize) -> u64 {
-    workspace % workspaces.div_ceil(GROUP).max(1) as u64
+    workspace % workspaces.div_ceil(GROUP_SIZE).max(1) as u64
 }
--- a/crates/core/src/quota/gate.rs
+++ b/crates/core/src/quota/gate.rs
@@ -1,75 +1,83 @@
-//! Which requests this host admits, by what the accounts answer or by itself.
+//! Admission of requests at this host: by the admission ratio that quota
+//! coordinators answer, or by its own share of the quota if none does.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use super::flow::Flow;
-use super::ledger::{DEMAND_SPAN, RECENT, USUAL_SPAN, Usage, Verdict};
+use super::ledger::{DEMAND_SPAN, RECENT_SPAN, USUAL_SPAN, Usage, Verdict};
 use super::{ANSWER_SPAN, Limit, REPORT_INTERVAL};
 
-/// Units a second below which a workspace is not reported: one request of ten
-/// units, half a minute ago.
+/// Usual demand in units a second below which a workspace is not reported: that
+/// of one request of ten units, half a minute ago.
 const MIN_USUAL: f64 = 0.05;
 
-/// Parts of a window in which a host that no account answers admits no more than
-/// its share either, what it did not use of a window would otherwise go at once:
-/// where it knows its share, and where it does not.
-const ALONE_PART: u32 = 2;
-const UNKNOWN_PART: u32 = 8;
+/// A host that no coordinator answers keeps to its share not only in each window
+/// but also in this fraction of it (one in so many); else it could admit at once
+/// what it left unused of a window. The first applies where it has received a
+/// share, the second, stricter one where it has not.
+const KNOWN_SHARE_DIVISOR: u32 = 2;
+const UNKNOWN_SHARE_DIVISOR: u32 = 8;
 
-/// Span in which a host that is answered admits no more than its share and a
-/// burst: accounts hear of it within half of that.
-const STEADY_SPAN: Duration = Duration::from_secs(1);
+/// Span in seconds in which a host that coordinators answer admits no more than
+/// its share and a burst: coordinators receive a report of it within half of that.
+const SURGE_SPAN: Duration = Duration::from_secs(1);
 
-/// How long after a refusal callers come back where no account answers.
-const ALONE_WAIT: Duration = Duration::from_secs(1);
+/// Retry delay in seconds of callers that are refused while no coordinator
+/// answers.
+const LOCAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent; it counts against the quota.
+    /// It may be sent, and is charged to the quota.
     Admitted,
-    /// It may not; credit is there again after this time.
+    /// It may not be sent; units are expected to be available after this time.
     Refused(Duration),
 }
 
-/// By what requests are admitted.
+/// How requests are admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
-    /// An account lets this part of them pass.
+    /// By the admission ratio of a coordinator.
     Told(f64),
-    /// No account answers: by this share of a window.
+    /// No coordinator answers: by this share of the quota.
     Alone(f64),
 }
 
-/// What was admitted in [`REPORT_INTERVAL`].
+/// What was admitted within one [`REPORT_INTERVAL`].
 #[derive(Debug, Clone, Copy)]
 struct Slot {
-    begun: Duration,
+    start: Duration,
     units: u64,
-    /// The largest request.
+    /// Units of the largest request.
     largest: u64,
 }
 
-/// What this host admitted, and when.
+/// What this host admitted of one workspace's requests, and when.
 #[derive(Debug, Clone, Default)]
 struct Meter {
     demand: Flow,
     usual: Flow,
+    /// Units admitted since the process started.
     admitted: i64,
-    /// What was admitted lately.
+    /// What was admitted within the last window.
     slots: VecDeque<Slot>,
-    /// The answers of each account, and when they came.
+    /// The last valid answer of each coordinator (by its hashed name), and when it
+    /// was received.
     verdicts: Vec<(u64, Verdict, Duration)>,
+    /// The share of the quota to use while no coordinator answers, as last
+    /// received.
     share: Option<f64>,
-    /// The part of the quota that it is due by what it is usually asked.
-    part: f64,
-    /// The part of the burst that was left by the last answer.
-    burst: f64,
+    /// The share of the quota that is due to this host by its usual demand.
+    target_share: f64,
+    /// The fraction of the burst that was left by the last answer.
+    burst_left: f64,
+    /// Requests refused since the process started.
     refused: u64,
 }
 
-/// What was decided of one workspace's requests since this host's start.
+/// Decisions on one workspace's requests since this host's process started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Totals {
     /// Units admitted.
@@ -78,7 +86,7 @@
     pub refused: u64,
 }
 
-/// Decides on the requests that reach this host.
+/// Decides which requests of each workspace this host admits.
 ///
 /// ```
 /// use std::time::Duration;
@@ -87,7 +95,7 @@
 /// let quota = Quota { unit: Unit::Requests, rate: 10.0, burst: 10.0 };
 /// let window = Duration::from_secs(8);
 /// let limit = Limit { quota, tolerance: Tolerance { window, overage: 0.0, slack: 0.0 } };
-/// // No account answers one of two hosts: it keeps to half of what the rate gives in a second.
+/// // No coordinator answers one of two hosts: it keeps to half of what the rate allows in a second.
 /// let (mut gate, now) = (Gate::new(), Duration::from_secs(20));
 /// let admits = |_: &u32| gate.admit(7, 1, 0.5, &limit, 2, now) == Admission::Admitted;
 /// assert_eq!((0..100u32).filter(admits).count(), 5);
@@ -98,13 +106,14 @@
 }
 
 impl Gate {
-    /// Nothing admitted yet, at the start of the host's process.
+    /// A gate that has admitted nothing, for the start of the host's process.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Decides on a request of `workspace` at `now`, the time since this host's
-    /// start; `draw` is the request's own number, 0 to 1. There are `hosts`.
+    /// process started. `draw` is the request's random number, 0 to 1; `hosts` is
+    /// the number of all hosts.
     pub fn admit(
         &mut self,
         workspace: u64,
@@ -121,11 +130,13 @@
         let (passes, wait) = match meter.verdict(now) {
             Some(verdict) => {
                 let wait = Duration::from_millis(u64::from(verdict.wait));
-                (draw < f64::from(verdict.pass) && meter.is_steady(limit, now), wait)
+                (draw < f64::from(verdict.pass) && meter.is_within_share(limit, now), wait)
+            }
+            // Admitted without a check: it triggers a first report to the coordinators.
+            None if meter.is_new() => (true, LOCAL_RETRY_AFTER),
+            None => {
+                (draw * cost as f64 <= meter.remaining_units(limit, hosts, now), LOCAL_RETRY_AFTER)
             }
-            // The first request has the accounts asked.
-            None if meter.is_new() => (true, ALONE_WAIT),
-            None => (draw * cost as f64 <= meter.room(limit, hosts, now), ALONE_WAIT),
         };
         match passes {
             true => {
@@ -139,12 +150,12 @@
         }
     }
 
-    /// Whether no account has ever answered for `workspace`.
+    /// Whether no coordinator has ever answered for `workspace`.
     pub fn is_unknown(&self, workspace: u64) -> bool {
         self.meters.get(&workspace).is_none_or(|meter| meter.share.is_none())
     }
 
-    /// Gives back what a request counted that was admitted and never ran.
+    /// Refunds the units of a request that was admitted and never ran.
     pub fn refund(&mut self, workspace: u64, cost: u64, now: Duration) {
         let Some(meter) = self.meters.get_mut(&workspace) else { return };
         meter.admitted -= cost as i64;
@@ -155,24 +166,26 @@
         }
     }
 
-    /// Takes in what the account `account` answers at `now`.
+    /// Applies the answer of the coordinator `account`, received at `now`.
     pub fn hear(&mut self, account: u64, verdict: Verdict, now: Duration) {
         let Some(meter) = self.meters.get_mut(&verdict.workspace) else { return };
         meter.share = Some(f64::from(verdict.share));
-        meter.part = f64::from(verdict.part);
-        meter.burst = f64::from(verdict.burst);
+        meter.target_share = f64::from(verdict.part);
+        meter.burst_left = f64::from(verdict.burst);
         meter.verdicts.retain(|(from, _, at)| *from != account && now < *at + ANSWER_SPAN);
         meter.verdicts.push((account, verdict, now));
     }
 
-    /// Where nobody accounts: each host has `share` of all quotas.
+    /// Gives this host the fixed `share` of all quotas, where coordinators are not
+    /// used.
     pub fn fix_shares(&mut self, share: f64) {
         for meter in self.meters.values_mut() {
-            (meter.share, meter.part, meter.burst) = (Some(share), share, 1.0);
+            (meter.share, meter.target_share, meter.burst_left) = (Some(share), share, 1.0);
         }
     }
 
-    /// What there is to report at `now`, where a quota's window is `window`.
+    /// The usage reports for the coordinators at `now`, where `window` is the window of
+    /// quotas.
     pub fn usages(&self, window: Duration, now: Duration) -> Vec<Usage> {
         let usage = |(workspace, meter): (&u64, &Meter)| Usage {
             workspace: *workspace,
@@ -180,7 +193,7 @@
             usual: meter.usual.rate(USUAL_SPAN, now) as f32,
             admitted: meter.admitted,
             spent: meter.spent(Duration::ZERO) as f32,
-            recent: meter.spent(now.saturating_sub(RECENT)) as f32,
+            recent: meter.spent(now.saturating_sub(RECENT_SPAN)) as f32,
             share: meter.share.map(|share| share as f32),
             young: now < window,
         };
@@ -188,7 +201,7 @@
         all.filter(|usage| f64::from(usage.usual) >= MIN_USUAL).collect()
     }
 
-    /// By what requests of `workspace` are admitted at `now`.
+    /// How requests of `workspace` are admitted at `now`.
     pub fn mode(&self, workspace: u64, hosts: usize, now: Duration) -> Option<Mode> {
         let meter = self.meters.get(&workspace)?;
         Some(match meter.verdict(now) {
@@ -197,31 +210,31 @@
         })
     }
 
-    /// What was decided of the requests of `workspace`.
+    /// Decisions on the requests of `workspace`.
     pub fn totals(&self, workspace: u64) -> Option<Totals> {
         let meter = self.meters.get(&workspace)?;
         Some(Totals { admitted: meter.admitted, refused: meter.refused })
     }
 
-    /// Forgets workspaces that `keeps` does not hold.
+    /// Removes workspaces for which `keeps` is false.
     pub fn retain(&mut self, keeps: impl Fn(u64) -> bool) {
         self.meters.retain(|workspace, _| keeps(*workspace));
     }
 }
 
 impl Meter {
-    /// The strictest answer that still holds.
+    /// The answer with the lowest admission ratio among those still valid.
     fn verdict(&self, now: Duration) -> Option<&Verdict> {
-        let held = self.verdicts.iter().filter(|(_, _, at)| now < *at + ANSWER_SPAN);
-        held.map(|(_, verdict, _)| verdict).min_by(|a, b| a.pass.total_cmp(&b.pass))
+        let valid = self.verdicts.iter().filter(|(_, _, at)| now < *at + ANSWER_SPAN);
+        valid.map(|(_, verdict, _)| verdict).min_by(|a, b| a.pass.total_cmp(&b.pass))
     }
 
-    /// What all hosts may admit beyond the rate, by the last answer.
-    fn beyond(&self, limit: &Limit) -> f64 {
-        self.burst * (limit.quota.burst + limit.credit())
+    /// Units that all hosts may admit beyond the rate, by the last answer.
+    fn burst_units(&self, limit: &Limit) -> f64 {
+        self.burst_left * (limit.quota.burst + limit.credit())
     }
 
-    /// Whether nothing was decided yet.
+    /// Whether no request has been decided and no answer received.
     fn is_new(&self) -> bool {
         self.share.is_none() && self.admitted == 0 && self.refused == 0
     }
@@ -230,50 +243,54 @@
         self.share.unwrap_or(1.0 / hosts.max(1) as f64)
     }
 
-    /// Units that this host may still admit by itself: neither a window nor a short
-    /// span holds more than its share. What they hold beyond the rate may be used
-    /// up already where the workspace was limited, or is not known. A request that
-    /// is larger passes by chance, so that many hosts do not all overdraw theirs.
-    fn room(&self, limit: &Limit, hosts: usize, now: Duration) -> f64 {
+    /// Units that this host may still admit while no coordinator answers: no more
+    /// than its share in a window, nor in a shorter span. Units beyond the rate are
+    /// allowed only as far as the last answer left some of the burst: none where the
+    /// workspace was limited, as they may be used up already. Without any answer
+    /// only part of the tolerated overage is allowed beyond the rate.
+    /// The caller admits a larger request with a probability, so that many hosts do
+    /// not all overdraw their shares by one.
+    fn remaining_units(&self, limit: &Limit, hosts: usize, now: Duration) -> f64 {
         let window = limit.tolerance.window;
-        let (beyond, span) = match self.share {
-            None => (limit.credit(), window / UNKNOWN_PART),
-            Some(_) => (self.beyond(limit), window / ALONE_PART),
+        let (burst_units, span) = match self.share {
+            None => (limit.credit(), window / UNKNOWN_SHARE_DIVISOR),
+            Some(_) => (self.burst_units(limit), window / KNOWN_SHARE_DIVISOR),
         };
-        let room = |span: Duration| {
+        let remaining = |span: Duration| {
             let rate = limit.quota.rate * now.min(span).as_secs_f64();
-            self.share(hosts) * (rate + beyond) - self.spent(now.saturating_sub(span))
+            self.share(hosts) * (rate + burst_units) - self.spent(now.saturating_sub(span))
         };
-        room(window).min(room(span))
+        remaining(window).min(remaining(span))
     }
 
     /// Units admitted since `since`, within the last window.
     fn spent(&self, since: Duration) -> f64 {
-        let slots = self.slots.iter().filter(|slot| slot.begun >= since);
+        let slots = self.slots.iter().filter(|slot| slot.start >= since);
         slots.map(|slot| slot.units).sum::<u64>() as f64
     }
 
-    /// Whether what was admitted last is what the accounts can know of: a load
-    /// that rises many times over is held at this host's share until they
-    /// answer, but for one request that is larger.
-    fn is_steady(&self, limit: &Limit, now: Duration) -> bool {
-        let held = limit.quota.rate * STEADY_SPAN.as_secs_f64() + self.beyond(limit);
+    /// Whether this host has admitted no more than its share and a burst within
+    /// [`SURGE_SPAN`]. Coordinators do not know of a load that rises many times
+    /// over until it is reported, so it is limited to this host's share until they
+    /// answer; one request may exceed the share.
+    fn is_within_share(&self, limit: &Limit, now: Duration) -> bool {
+        let allowed = limit.quota.rate * SURGE_SPAN.as_secs_f64() + self.burst_units(limit);
         let largest = self.slots.iter().map(|slot| slot.largest).max().unwrap_or_default();
-        self.spent(now.saturating_sub(STEADY_SPAN)) <= self.part * held + largest as f64
+        self.spent(now.saturating_sub(SURGE_SPAN)) <= self.target_share * allowed + largest as f64
     }
 
-    /// Forgets what was admitted before the last window.
+    /// Removes slots from before the last window.
     fn expire(&mut self, limit: &Limit, now: Duration) {
         let window = limit.tolerance.window;
-        while self.slots.front().is_some_and(|slot| slot.begun + window <= now) {
+        while self.slots.front().is_some_and(|slot| slot.start + window <= now) {
             self.slots.pop_front();
         }
     }
 
     fn admit(&mut self, cost: u64, now: Duration) {
         self.admitted += cost as i64;
-        if self.slots.back().is_none_or(|slot| slot.begun + REPORT_INTERVAL <= now) {
-            self.slots.push_back(Slot { begun: now, units: 0, largest: 0 });
+        if self.slots.back().is_none_or(|slot| slot.start + REPORT_INTERVAL <= now) {
+            self.slots.push_back(Slot { start: now, units: 0, largest: 0 });
         }
         if let Some(slot) = self.slots.back_mut() {
             slot.units += cost;
--- a/crates/core/src/quota/ledger.rs
+++ b/crates/core/src/quota/ledger.rs
@@ -1,9 +1,9 @@
-//! The accounts of the workspaces that this host accounts for.
+//! The quota accounts of the workspaces that this host coordinates.
 //!
-//! An account is a bucket of the hosts that are heard: it fills at the quota's
-//! rate, less the shares of the hosts that are not, and each report takes out what
-//! its host admitted since the one before. The part of the requests that may pass
-//! is what the bucket can spend in a second, over what was asked in the last.
+//! An account is a token bucket of the reachable hosts. It fills at the quota's
+//! rate, less the shares of unreachable hosts, and each usage report takes out
+//! what its host admitted since the report before. The admission ratio is what
+//! the bucket can spend in the next second, divided by the demand of the last.
 
 mod account;
 
@@ -14,75 +14,84 @@
 
 use super::Limit;
 use account::Account;
-pub(super) use account::RECENT;
+pub(super) use account::RECENT_SPAN;
 
-/// Span over which what is asked is averaged, and what hosts usually are asked.
+/// Time constants of the exponential averages of a host's current demand and of
+/// its usual demand, in milliseconds and seconds. The first is two report
+/// intervals, so that the admission ratio follows a change of load quickly; the
+/// second is much longer, as shares depend on it and must not follow bursts.
 pub(super) const DEMAND_SPAN: Duration = Duration::from_millis(500);
 pub(super) const USUAL_SPAN: Duration = Duration::from_secs(10);
 
-/// What one host tells of one workspace.
+/// What one host reports about one workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// Hash of the workspace's name.
     pub workspace: u64,
-    /// Units asked of the host, a second, lately.
+    /// Current demand: units a second that callers ask of the host, averaged over
+    /// half a second.
     pub demand: f32,
-    /// The same over a longer time.
+    /// Usual demand: the same, averaged over ten seconds.
     pub usual: f32,
-    /// Units that it has admitted since its start.
+    /// Units that the host has admitted since its process started.
     pub admitted: i64,
-    /// Units that it admitted within the last window.
+    /// Units that it admitted within the last window of the quota.
     pub spent: f32,
-    /// Units that it admitted within [`RECENT`].
+    /// Units that it admitted within [`RECENT_SPAN`].
     pub recent: f32,
-    /// The share of the quota that it holds, if it was told one.
+    /// The share of the quota that it uses when no coordinator answers; `None` if it
+    /// has not received one.
     pub share: Option<f32>,
-    /// It has run for less than a window, so it may have admitted more before.
+    /// Whether the process has run for less than a window: it may have admitted
+    /// more before its restart, which is not counted in `spent`.
     pub young: bool,
 }
 
-/// One life of a host.
+/// One incarnation of a host's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     /// Hash of its name.
     pub host: u64,
-    /// Its life.
+    /// Its incarnation.
     pub life: u64,
 }
 
-/// What a host may admit of a workspace's requests.
+/// The coordinator's answer to a usage report: what the host may admit of a
+/// workspace's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Hash of the workspace's name.
     pub workspace: u64,
-    /// The part of the requests that may pass, 0 to 1.
+    /// The admission ratio: the fraction of requests to admit, 0 to 1.
     pub pass: f32,
-    /// The host's share of the quota while no account answers it.
+    /// The share of the quota that the host may use while no coordinator answers.
     pub share: f32,
-    /// The part of the quota that the host is due by what it is usually asked.
+    /// The share of the quota that is due to the host by its usual demand.
     pub part: f32,
-    /// The part of the burst that is left, 0 to 1.
+    /// The fraction of the burst that is left, 0 to 1.
     pub burst: f32,
-    /// Milliseconds after which those refused should come back.
+    /// Retry delay of refused callers, in milliseconds.
     pub wait: u32,
 }
 
-/// The hosts as the account knows them.
+/// The hosts that an account counts.
 #[derive(Debug, Clone, Default)]
 pub struct Hosts {
-    /// Hosts that are heard, this one included.
+    /// Number of reachable hosts, this one included.
     pub heard: usize,
-    /// Hashed names of those that are not, for less than [`super::RESERVED`].
+    /// Hashed names of the hosts that have been unreachable for less than
+    /// [`super::RESERVED`].
     pub silent: HashSet<u64>,
 }
 
 impl Hosts {
-    /// All that count.
+    /// Number of reachable and unreachable hosts.
     pub fn count(&self) -> usize {
         self.heard + self.silent.len()
     }
 
-    /// Whether this host hears so many that it may account for them.
+    /// Whether at least half of the hosts are reachable, so that this host may
+    /// coordinate quotas.
     ///
     /// ```
     /// use marjoram_core::quota::ledger::Hosts;
@@ -94,20 +103,20 @@
     }
 }
 
-/// How an account stands, for the state dump and the log.
+/// State of an account, for the state dump and the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
-    /// The part of the requests that may pass.
+pub struct AccountStatus {
+    /// The admission ratio.
     pub pass: f64,
-    /// What the bucket holds.
+    /// Units in the bucket; negative when overdrawn.
     pub level: f64,
-    /// Units asked a second, of the hosts that are heard.
+    /// Demand of the reachable hosts, in units a second.
     pub demand: f64,
-    /// The part of the quota that is kept back.
+    /// The fraction of the quota reserved for unreachable hosts.
     pub reserved: f64,
 }
 
-/// The accounts that one host keeps.
+/// The accounts of the workspaces that one host coordinates.
 ///
 /// ```
 /// use std::time::Duration;
@@ -132,7 +141,7 @@
 /// };
 /// ledger.report(sender, &usage(0), secs(1.0));
 /// ledger.settle(7, &limit, &hosts, secs(1.0));
-/// // Four times the quota is asked, and the bucket holds nothing yet.
+/// // The demand is four times the quota, and the bucket is still empty.
 /// assert_eq!(ledger.verdict(7, 1).unwrap().pass, 0.25);
 /// ledger.report(sender, &usage(600), secs(1.25));
 /// ledger.settle(7, &limit, &hosts, secs(1.25));
@@ -144,41 +153,43 @@
 }
 
 impl Ledger {
-    /// Takes in what `sender` tells at `now`.
+    /// Applies a usage report from `sender`, received at `now`.
     pub fn report(&mut self, sender: Sender, usage: &Usage, now: Duration) {
         self.accounts.entry(usage.workspace).or_default().report(sender, usage, now);
     }
 
-    /// Brings the account of `workspace` up to `now`.
+    /// Advances the account of `workspace` to `now`, and computes what hosts may
+    /// admit from then on.
     pub fn settle(&mut self, workspace: u64, limit: &Limit, hosts: &Hosts, now: Duration) {
         if let Some(account) = self.accounts.get_mut(&workspace) {
             account.settle(limit, hosts, now);
         }
     }
 
-    /// Whether the account of `workspace` has been settled since it was opened.
+    /// Whether the account of `workspace` has been updated since it was created.
     pub fn is_settled(&self, workspace: u64) -> bool {
         self.accounts.get(&workspace).is_some_and(|account| account.is_settled())
     }
 
-    /// What `host` is told that it may admit of the requests of `workspace`, as last
-    /// settled.
+    /// What `host` may admit of the requests of `workspace`, as computed by the last
+    /// update.
     pub fn verdict(&mut self, workspace: u64, host: u64) -> Option<Verdict> {
         self.accounts.get_mut(&workspace)?.verdict(workspace, host)
     }
 
-    /// Forgets the accounts of workspaces that `keeps` does not hold.
+    /// Removes accounts without entries, and those of workspaces for which `keeps`
+    /// is false.
     pub fn retain(&mut self, keeps: impl Fn(u64) -> bool) {
         self.accounts.retain(|workspace, account| keeps(*workspace) && !account.is_empty());
     }
 
-    /// The workspaces that are accounted for.
+    /// Hashed names of the workspaces with an account.
     pub fn workspaces(&self) -> Vec<u64> {
         self.accounts.keys().copied().collect()
     }
 
-    /// How the account of `workspace` stands at `now`.
-    pub fn standing(&self, workspace: u64, now: Duration) -> Option<Standing> {
-        Some(self.accounts.get(&workspace)?.standing(now))
+    /// The state of the account of `workspace` at `now`.
+    pub fn standing(&self, workspace: u64, now: Duration) -> Option<AccountStatus> {
+        Some(self.accounts.get(&workspace)?.status(now))
     }
 }
--- a/crates/core/src/quota/ledger/account.rs
+++ b/crates/core/src/quota/ledger/account.rs
@@ -1,360 +1,413 @@
-//! One workspace's account.
+//! The quota account of one workspace, as its quota coordinator keeps it.
+//!
+//! A token bucket for all reachable hosts together, plus one entry for each
+//! host that reports. From the reports it computes the admission ratio (the
+//! same for all hosts) and the share of the quota that each host may use when
+//! no coordinator answers it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{DEMAND_SPAN, Hosts, Sender, Standing, USUAL_SPAN, Usage, Verdict};
+use super::{AccountStatus, DEMAND_SPAN, Hosts, Sender, USUAL_SPAN, Usage, Verdict};
 use crate::quota::flow::Flow;
 use crate::quota::{ANSWER_SPAN, Limit};
 
-/// Time in which a full bucket is spent, or an overdrawn one refilled.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Time in seconds over which a full bucket is spent or an overdraft is worked
+/// off.
+const CORRECTION_TIME: Duration = Duration::from_secs(1);
 
-/// Part of the quota's rate that is shared equally, whatever is asked: the
-/// share of a host of which little was asked lately.
+/// Demand that is added to the usual demand of all hosts, in equal parts, as a
+/// fraction of the quota's rate, before shares are computed in proportion to
+/// demand. It is what gives a host with little recent demand a share.
 const EQUAL_PART: f64 = 0.5;
 
-/// Span that shows what was admitted at once, with a window.
-pub(in crate::quota) const RECENT: Duration = Duration::from_secs(2);
+/// Length in seconds of the short span over which hosts report what they
+/// admitted. Beside the whole window it shows what was admitted in one burst.
+pub(in crate::quota) const RECENT_SPAN: Duration = Duration::from_secs(2);
 
-/// Longest time for which a host whose reports are missed is taken to go on: by
-/// then it is reported anew, or known to be silent.
-const MISSED: Duration = Duration::from_secs(2);
+/// Longest time in seconds for which the last report of a host is extrapolated.
+/// By then the next report has arrived, or the host is known to be unreachable.
+const EXTRAPOLATION_MAX: Duration = Duration::from_secs(2);
 
-/// Time in which all hosts report to a new account.
-const OPENING: Duration = Duration::from_secs(2);
+/// Time in seconds within which every host has reported to a new account:
+/// eight report intervals.
+const REPORT_ROUND: Duration = Duration::from_secs(2);
 
-/// How long a line is kept of a host that reports nothing.
-const IDLE: Duration = Duration::from_secs(60);
+/// How long in seconds the entry of a reachable host is kept after its last
+/// report.
+const ENTRY_TTL: Duration = Duration::from_secs(60);
 
-/// Bounds of the time after which callers are told to come back.
-const WAIT_MIN: Duration = Duration::from_millis(500);
-const WAIT_MAX: Duration = Duration::from_secs(8);
+/// Bounds of the retry delay that refused callers are given, in milliseconds
+/// and seconds.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(8);
 
-/// One host's part in an account.
+/// The state of one host in an account.
 #[derive(Debug, Clone, Copy)]
-struct Line {
-    life: u64,
+struct HostEntry {
+    incarnation: u64,
+    /// Units admitted since the host's process started, as last reported.
     admitted: i64,
     demand: Flow,
     usual: Flow,
-    at: Duration,
-    /// The share that it held when it last reported, if it had been told one.
-    held: Option<f64>,
-    /// The shares that it was told last: an answer may be late or lost.
-    told: [f64; 2],
-    /// The share that it is told next, and its part of what all are asked.
+    reported_at: Duration,
+    /// The share that the host used when it last reported; `None` if it had not
+    /// received one.
+    reported_share: Option<f64>,
+    /// The last two shares sent to the host. Both count, as the answer with the
+    /// newer one may be late or lost.
+    sent_shares: [f64; 2],
+    /// The share that the next answer carries.
     share: f64,
-    part: f64,
-    /// The part of its requests that may pass, and of the burst that was left, when
-    /// it was last answered.
-    pass: f64,
-    burst: f64,
-    /// What was kept back of the burst for it.
-    kept: f64,
-    /// It is not heard.
-    silent: bool,
-    /// It was not, at some time since it last reported.
-    lapsed: bool,
-    /// What it had spent of a window and of [`RECENT`] when it first reported.
-    spent: f64,
-    recent: f64,
-    young: bool,
+    /// The share that is due to the host by its usual demand.
+    target_share: f64,
+    /// The account's admission ratio and remaining part of the burst when the
+    /// host was last answered.
+    admission_ratio: f64,
+    burst_left: f64,
+    /// Units of the burst reserved for the host while it is unreachable.
+    reserved_burst: f64,
+    /// Whether the host is unreachable.
+    unreachable: bool,
+    /// Whether it has been unreachable at any time since its last report.
+    was_unreachable: bool,
+    /// Units that its first report gave for a window and for [`RECENT_SPAN`].
+    initial_window: f64,
+    initial_recent: f64,
+    /// Whether it had run for less than a window at its first report.
+    newly_started: bool,
 }
 
-/// One workspace's account.
+/// The account of one workspace.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Account {
-    /// What the hosts that are heard may spend; overdrawn below 0.
+    /// Units that the reachable hosts may spend; negative when overdrawn.
     level: f64,
-    settled: Option<Duration>,
-    /// When it was first settled.
-    opened: Duration,
-    /// What the hosts had spent before, beyond the rate.
-    debt: f64,
-    lines: HashMap<u64, Line>,
-    /// What hosts that returned lately admitted beyond their shares, and when
-    /// the last one did.
-    returned: Excess,
-    returned_at: Duration,
-    /// The quota's rate.
+    updated_at: Option<Duration>,
+    /// When the account was first updated.
+    created_at: Duration,
+    /// Units that the hosts had spent beyond the rate before the account existed.
+    initial_debt: f64,
+    entries: HashMap<u64, HostEntry>,
+    /// What hosts that became reachable again within the last [`REPORT_ROUND`]
+    /// admitted beyond their shares, and when the last of them reported.
+    reconnect_excess: Excess,
+    reconnected_at: Duration,
+    /// The quota's rate, in units a second.
     rate: f64,
-    /// The part of the quota that is kept back.
+    /// The fraction of the quota reserved for unreachable hosts.
     reserved: f64,
     /// The share of each host if all have the same.
-    even: f64,
-    /// What all hosts are usually asked a second, and what each has beside that.
-    usual: f64,
-    equal: f64,
-    pass: f64,
-    burst: f64,
-    wait: Duration,
+    even_share: f64,
+    /// Usual demand of all hosts, including the equal part, and the equal part
+    /// of one host, both in units a second.
+    total_usual: f64,
+    equal_usual: f64,
+    admission_ratio: f64,
+    burst_left: f64,
+    retry_after: Duration,
 }
 
-/// What hosts admitted beyond what the rate gives, over a long and a short span.
+/// Units that hosts admitted beyond what the rate allows, in a window and in
+/// [`RECENT_SPAN`].
 #[derive(Debug, Clone, Copy, Default)]
 struct Excess {
-    long: f64,
-    short: f64,
+    window: f64,
+    recent: f64,
 }
 
 impl Excess {
     fn plus(self, other: Self) -> Self {
-        Self { long: self.long + other.long, short: self.short + other.short }
+        Self { window: self.window + other.window, recent: self.recent + other.recent }
     }
 
-    /// What a bucket would be overdrawn by.
+    /// Units by which a bucket would be overdrawn.
     fn units(self) -> f64 {
-        self.long.max(self.short).max(0.0)
+        self.window.max(self.recent).max(0.0)
     }
 }
 
 impl Account {
-    /// Takes in what `sender` tells at `now`.
+    /// Applies a usage report that was received at `now`: charges what the host
+    /// admitted since its last one and replaces its entry.
     pub(super) fn report(&mut self, sender: Sender, usage: &Usage, now: Duration) {
-        let line = self.lines.get(&sender.host).copied();
-        if let Some(line) = &line {
-            let before = if line.life == sender.life { line.admitted } else { 0 };
+        let previous = self.entries.get(&sender.host).copied();
+        if let Some(previous) = &previous {
+            let before = if previous.incarnation == sender.life { previous.admitted } else { 0 };
             let admitted = (usage.admitted - before) as f64;
-            match line.lapsed {
-                true => self.charge_return(line, admitted, f64::from(usage.recent), now),
+            match previous.was_unreachable {
+                true => self.charge_reconnected(previous, admitted, f64::from(usage.recent), now),
                 false => self.level -= admitted,
             }
         }
-        let held = usage.share.map(f64::from);
-        let line = Line {
-            life: sender.life,
+        let reported_share = usage.share.map(f64::from);
+        let entry = HostEntry {
+            incarnation: sender.life,
             admitted: usage.admitted,
             demand: Flow::new(f64::from(usage.demand), now),
             usual: Flow::new(f64::from(usage.usual), now),
-            at: now,
-            held,
-            told: line.map_or([0.0; 2], |line| line.told),
-            share: line.map_or(held.unwrap_or(self.even), |line| line.share),
-            part: share(f64::from(usage.usual), self.usual, self.equal),
-            pass: self.pass,
-            burst: self.burst,
-            kept: 0.0,
-            silent: false,
-            lapsed: false,
-            spent: line.map_or(f64::from(usage.spent), |line| line.spent),
-            recent: line.map_or(f64::from(usage.recent), |line| line.recent),
-            young: line.map_or(usage.young, |line| line.young),
+            reported_at: now,
+            reported_share,
+            sent_shares: previous.map_or([0.0; 2], |entry| entry.sent_shares),
+            share: previous.map_or(reported_share.unwrap_or(self.even_share), |entry| entry.share),
+            target_share: proportional_share(
+                f64::from(usage.usual),
+                self.total_usual,
+                self.equal_usual,
+            ),
+            admission_ratio: self.admission_ratio,
+            burst_left: self.burst_left,
+            reserved_burst: 0.0,
+            unreachable: false,
+            was_unreachable: false,
+            initial_window: previous.map_or(f64::from(usage.spent), |entry| entry.initial_window),
+            initial_recent: previous.map_or(f64::from(usage.recent), |entry| entry.initial_recent),
+            newly_started: previous.map_or(usage.young, |entry| entry.newly_started),
         };
-        self.lines.insert(sender.host, line);
+        self.entries.insert(sender.host, entry);
     }
 
-    /// What `host` is told that it may admit of the requests of `workspace`, as last
-    /// settled.
+    /// What `host` may admit of the requests of `workspace`, as computed by the last
+    /// update; `None` before the first update or for a host that has not reported.
     pub(super) fn verdict(&mut self, workspace: u64, host: u64) -> Option<Verdict> {
-        self.settled?;
-        let line = self.lines.get_mut(&host)?;
-        line.told = [line.told[1], line.share];
+        self.updated_at?;
+        let entry = self.entries.get_mut(&host)?;
+        entry.sent_shares = [entry.sent_shares[1], entry.share];
         Some(Verdict {
             workspace,
-            pass: self.pass as f32,
-            share: line.share as f32,
-            part: line.part as f32,
-            burst: self.burst as f32,
-            wait: self.wait.as_millis() as u32,
+            pass: self.admission_ratio as f32,
+            share: entry.share as f32,
+            part: entry.target_share as f32,
+            burst: self.burst_left as f32,
+            wait: self.retry_after.as_millis() as u32,
         })
     }
 
-    /// How it stands at `now`.
-    pub(super) fn standing(&self, now: Duration) -> Standing {
-        Standing {
-            pass: self.pass,
+    /// The state of the account at `now`.
+    pub(super) fn status(&self, now: Duration) -> AccountStatus {
+        AccountStatus {
+            pass: self.admission_ratio,
             level: self.level,
             demand: self.demand(now),
             reserved: self.reserved,
         }
     }
 
-    /// Whether it has been settled since it was opened.
+    /// Whether the account has been updated since it was created.
     pub(super) fn is_settled(&self) -> bool {
-        self.settled.is_some()
+        self.updated_at.is_some()
     }
 
-    /// Whether no host has a line in it.
+    /// Whether the account has no entry of any host.
     pub(super) fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Whether hosts have ceased to report to it: others account for them, and what
-    /// they admit is not known here.
-    fn is_left(&self, now: Duration) -> bool {
-        self.lines.values().all(|line| now >= line.at + OPENING)
+    /// Whether hosts have ceased to report here. They report to other
+    /// coordinators then, and what they admit is no longer known.
+    fn is_abandoned(&self, now: Duration) -> bool {
+        self.entries.values().all(|entry| now >= entry.reported_at + REPORT_ROUND)
     }
 
-    /// Brings it up to `now`.
+    /// Advances the account to `now`: refills the bucket, reserves the shares of
+    /// unreachable hosts, and computes the admission ratio, the remaining burst
+    /// and the retry delay that answers carry until the next update.
     pub(super) fn settle(&mut self, limit: &Limit, hosts: &Hosts, now: Duration) {
-        if self.is_left(now) {
+        if self.is_abandoned(now) {
             *self = Self::default();
         }
-        self.lines.retain(|_, line| line.silent || now < line.at + IDLE);
-        let even = self.even;
-        for (host, line) in &mut self.lines {
-            line.silent = hosts.silent.contains(host) && now >= line.at + ANSWER_SPAN;
-            if line.silent && !line.lapsed {
-                // It has gone on since its last report, and has its part of a burst.
-                let span = now.saturating_sub(line.at).as_secs_f64();
-                line.kept = line.taken(even) * line.burst * limit.quota.burst;
-                self.level -= line.taken(even) * limit.quota.rate * span + line.kept;
-                line.lapsed = true;
+        self.entries.retain(|_, entry| entry.unreachable || now < entry.reported_at + ENTRY_TTL);
+        let even_share = self.even_share;
+        for (host, entry) in &mut self.entries {
+            entry.unreachable =
+                hosts.silent.contains(host) && now >= entry.reported_at + ANSWER_SPAN;
+            if entry.unreachable && !entry.was_unreachable {
+                // It has admitted requests since its last report, and may use its
+                // share of the burst.
+                let span = now.saturating_sub(entry.reported_at).as_secs_f64();
+                entry.reserved_burst =
+                    entry.max_share(even_share) * entry.burst_left * limit.quota.burst;
+                self.level -=
+                    entry.max_share(even_share) * limit.quota.rate * span + entry.reserved_burst;
+                entry.was_unreachable = true;
             }
         }
         self.rate = limit.quota.rate;
-        self.reserved = self.share_out(hosts, now);
+        self.reserved = self.assign_shares(hosts, now);
         let part = 1.0 - self.reserved;
         let rate = limit.quota.rate * part;
-        let span = now.saturating_sub(self.settled.unwrap_or(now)).as_secs_f64();
-        // An excess of more than a window ago harms no longer.
+        let span = now.saturating_sub(self.updated_at.unwrap_or(now)).as_secs_f64();
+        // An overdraft older than a window no longer counts.
         let lowest = -rate * limit.tolerance.window.as_secs_f64();
         if !hosts.may_account() {
-            // What the others do meanwhile is not known.
+            // Most hosts are unreachable, and what they admit is not known.
             *self = Self::default();
             return;
         }
-        if self.settled.is_none() {
-            // What a new account does not know may have been spent.
+        if self.updated_at.is_none() {
+            // The whole credit may have been used before the account existed.
             self.level = -limit.credit();
-            self.opened = now;
+            self.created_at = now;
         }
-        if now < self.opened + OPENING {
-            let debt = self.opening_debt(limit, hosts);
-            self.level -= debt - self.debt;
-            self.debt = debt;
+        if now < self.created_at + REPORT_ROUND {
+            let debt = self.initial_debt(limit, hosts);
+            self.level -= debt - self.initial_debt;
+            self.initial_debt = debt;
         }
         self.level = (self.level + rate * span).clamp(lowest, limit.quota.burst * part);
-        self.settled = Some(now);
-        let heard = self.lines.values().filter(|line| !line.silent);
-        let assumed: f64 = heard.map(|line| line.assumed(now)).sum();
-        let left = self.level - assumed + limit.credit() * part;
-        let spend = (rate + left / SETTLE.as_secs_f64()).max(0.0);
+        self.updated_at = Some(now);
+        let reachable = self.entries.values().filter(|entry| !entry.unreachable);
+        let unreported: f64 = reachable.map(|entry| entry.admitted_since_report(now)).sum();
+        let left = self.level - unreported + limit.credit() * part;
+        let spend = (rate + left / CORRECTION_TIME.as_secs_f64()).max(0.0);
         let demand = self.demand(now);
-        self.pass = if demand > spend { spend / demand } else { 1.0 };
-        let full = (limit.quota.burst * part).max(f64::MIN_POSITIVE);
-        let burst = ((self.level - assumed) / full).clamp(0.0, 1.0);
-        self.burst = if demand > spend { 0.0 } else { burst };
-        let wait = Duration::try_from_secs_f64(-left / rate.max(f64::MIN_POSITIVE));
-        self.wait = wait.unwrap_or_default().clamp(WAIT_MIN, WAIT_MAX);
+        self.admission_ratio = if demand > spend { spend / demand } else { 1.0 };
+        let capacity = (limit.quota.burst * part).max(f64::MIN_POSITIVE);
+        let burst_left = ((self.level - unreported) / capacity).clamp(0.0, 1.0);
+        self.burst_left = if demand > spend { 0.0 } else { burst_left };
+        let refill = Duration::try_from_secs_f64(-left / rate.max(f64::MIN_POSITIVE));
+        self.retry_after = refill.unwrap_or_default().clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX);
     }
 
-    /// Charges what a host admitted while it was not heard, beyond its share, which
-    /// was kept back. What hosts did not use of theirs is lost, as in a full
-    /// bucket, but for what others that return with them used.
-    fn charge_return(&mut self, line: &Line, admitted: f64, recent: f64, now: Duration) {
-        if now >= self.returned_at + OPENING {
-            self.returned = Excess::default();
+    /// Charges what a host admitted while it was unreachable, beyond the share
+    /// that was reserved for it. What it left unused is not credited, as a full
+    /// bucket gains nothing, except against the excess of other hosts that become
+    /// reachable again within the same [`REPORT_ROUND`].
+    fn charge_reconnected(&mut self, entry: &HostEntry, admitted: f64, recent: f64, now: Duration) {
+        if now >= self.reconnected_at + REPORT_ROUND {
+            self.reconnect_excess = Excess::default();
         }
-        let (span, rate) = (now.saturating_sub(line.at), line.taken(self.even) * self.rate);
-        let returned = Excess {
-            long: self.returned.long + admitted - rate * span.as_secs_f64() - line.kept,
-            short: self.returned.short + recent - rate * RECENT.min(span).as_secs_f64() - line.kept,
+        let (span, rate) =
+            (now.saturating_sub(entry.reported_at), entry.max_share(self.even_share) * self.rate);
+        let excess = Excess {
+            window: self.reconnect_excess.window + admitted
+                - rate * span.as_secs_f64()
+                - entry.reserved_burst,
+            recent: self.reconnect_excess.recent + recent
+                - rate * RECENT_SPAN.min(span).as_secs_f64()
+                - entry.reserved_burst,
         };
-        self.level -= returned.units() - self.returned.units();
-        (self.returned, self.returned_at) = (returned, now);
+        self.level -= excess.units() - self.reconnect_excess.units();
+        (self.reconnect_excess, self.reconnected_at) = (excess, now);
     }
 
-    /// What the hosts that have reported had spent of a window by then, beyond
-    /// what they have of one; below 0 if they left some.
-    fn opening_debt(&self, limit: &Limit, hosts: &Hosts) -> f64 {
+    /// Units that the hosts that have reported spent before their first reports,
+    /// beyond their even shares of a window or of [`RECENT_SPAN`], whichever is
+    /// exceeded by more. Negative, down to the whole credit, if they spent less.
+    fn initial_debt(&self, limit: &Limit, hosts: &Hosts) -> f64 {
         let burst = limit.quota.burst + limit.credit();
-        let held = |span: Duration| {
+        let allowed = |span: Duration| {
             (limit.quota.rate * span.as_secs_f64() + burst) / hosts.count().max(1) as f64
         };
-        let (long, short) = (held(limit.tolerance.window), held(RECENT));
-        // A young host may have left unused less than it knows.
-        let lowest = |line: &Line| if line.young { 0.0 } else { f64::NEG_INFINITY };
-        let excess = |line: &Line| Excess {
-            long: (line.spent - long).max(lowest(line)),
-            short: (line.recent - short).max(lowest(line)),
+        let (window, recent) = (allowed(limit.tolerance.window), allowed(RECENT_SPAN));
+        // A host that has just started does not know what it admitted before its
+        // restart, so what it seems to have left unused is not credited.
+        let lowest = |entry: &HostEntry| if entry.newly_started { 0.0 } else { f64::NEG_INFINITY };
+        let excess = |entry: &HostEntry| Excess {
+            window: (entry.initial_window - window).max(lowest(entry)),
+            recent: (entry.initial_recent - recent).max(lowest(entry)),
         };
-        let all = self.lines.values().map(excess).fold(Excess::default(), Excess::plus);
-        all.long.max(all.short).max(-limit.credit())
+        let all = self.entries.values().map(excess).fold(Excess::default(), Excess::plus);
+        all.window.max(all.recent).max(-limit.credit())
     }
 
-    /// Units asked a second of the hosts that are heard.
+    /// Demand of the reachable hosts, in units a second.
     fn demand(&self, now: Duration) -> f64 {
-        let heard = self.lines.values().filter(|line| !line.silent);
-        heard.map(|line| line.demand_at(now)).sum()
+        let reachable = self.entries.values().filter(|entry| !entry.unreachable);
+        reachable.map(|entry| entry.demand_at(now)).sum()
     }
 
-    /// Shares the quota out among the hosts that are heard, by what each is usually
-    /// asked; returns what the others hold of it.
+    /// Divides the quota among the reachable hosts in proportion to their usual
+    /// demand, and returns the fraction that unreachable hosts may be using.
     ///
     /// All shares together never exceed the quota, whichever hosts are cut off and
-    /// at whatever moment: a share is raised only by what the others have given up,
-    /// as their reports show.
-    fn share_out(&mut self, hosts: &Hosts, now: Duration) -> f64 {
-        self.even = 1.0 / hosts.count().max(1) as f64;
-        self.equal = EQUAL_PART * self.rate * self.even;
-        self.usual = self.lines.values().map(|line| line.usual_at(now)).sum::<f64>()
+    /// at whatever moment: a share is raised only by what other hosts have given
+    /// up, as their reports show.
+    fn assign_shares(&mut self, hosts: &Hosts, now: Duration) -> f64 {
+        self.even_share = 1.0 / hosts.count().max(1) as f64;
+        self.equal_usual = EQUAL_PART * self.rate * self.even_share;
+        self.total_usual = self.entries.values().map(|entry| entry.usual_at(now)).sum::<f64>()
             + EQUAL_PART * self.rate;
-        let (usual, equal, even) = (self.usual, self.equal, self.even);
-        let spare =
-            (1.0 - self.taken(false) - self.taken(true) - self.unreported(hosts, now)).max(0.0);
-        let silent = hosts.silent.iter().filter(|host| !self.lines.contains_key(host)).count();
-        // What these hold is not known: at most what no other host does.
-        let unknown = if silent > 0 { spare.max(silent as f64 * even) } else { 0.0 };
-        let free = if silent > 0 { 0.0 } else { spare };
-        let wanted = |line: &Line| share(line.usual_at(now), usual, equal);
-        let heard = self.lines.values().filter(|line| !line.silent);
-        let more: f64 = heard.map(|line| (wanted(line) - line.taken(even)).max(0.0)).sum();
-        let part = if more > free { free / more } else { 1.0 };
-        for line in self.lines.values_mut().filter(|line| !line.silent) {
-            let (wanted, taken) = (wanted(line), line.taken(even));
-            line.share = wanted.min(taken) + part * (wanted - taken).max(0.0);
-            line.part = wanted;
+        let (total, equal, even) = (self.total_usual, self.equal_usual, self.even_share);
+        let unassigned = (1.0
+            - self.total_share(false)
+            - self.total_share(true)
+            - self.unreported_share(hosts, now))
+        .max(0.0);
+        let without_entry =
+            hosts.silent.iter().filter(|host| !self.entries.contains_key(host)).count();
+        // The shares of unreachable hosts without an entry are not known: they are
+        // assumed to use all that no other host does, and at least even shares.
+        let unknown =
+            if without_entry > 0 { unassigned.max(without_entry as f64 * even) } else { 0.0 };
+        let free = if without_entry > 0 { 0.0 } else { unassigned };
+        let target = |entry: &HostEntry| proportional_share(entry.usual_at(now), total, equal);
+        let reachable = self.entries.values().filter(|entry| !entry.unreachable);
+        let missing: f64 =
+            reachable.map(|entry| (target(entry) - entry.max_share(even)).max(0.0)).sum();
+        let part = if missing > free { free / missing } else { 1.0 };
+        for entry in self.entries.values_mut().filter(|entry| !entry.unreachable) {
+            let (target, current) = (target(entry), entry.max_share(even));
+            entry.share = target.min(current) + part * (target - current).max(0.0);
+            entry.target_share = target;
         }
-        (self.taken(true) + unknown).min(1.0)
+        (self.total_share(true) + unknown).min(1.0)
     }
 
-    /// What the hosts with a line that are `silent` or not may hold of the quota.
-    fn taken(&self, silent: bool) -> f64 {
-        let lines = self.lines.values().filter(|line| line.silent == silent);
-        lines.map(|line| line.taken(self.even)).sum()
+    /// The largest fraction of the quota that the hosts with an entry may be
+    /// using: either the unreachable ones or the reachable ones.
+    fn total_share(&self, unreachable: bool) -> f64 {
+        let entries = self.entries.values().filter(|entry| entry.unreachable == unreachable);
+        entries.map(|entry| entry.max_share(self.even_share)).sum()
     }
 
-    /// What the hosts that are heard and have not reported may hold: they were asked
-    /// nothing, unless the account is new.
-    fn unreported(&self, hosts: &Hosts, now: Duration) -> f64 {
-        let reported = self.lines.values().filter(|line| !line.silent).count();
-        let opening = self.settled.is_none() || now < self.opened + OPENING;
-        let each = if opening { self.even } else { share(0.0, self.usual, self.equal) };
+    /// The fraction of the quota that reachable hosts without a report may be
+    /// using. They have had no demand, unless the account is new.
+    fn unreported_share(&self, hosts: &Hosts, now: Duration) -> f64 {
+        let reported = self.entries.values().filter(|entry| !entry.unreachable).count();
+        let is_new = self.updated_at.is_none() || now < self.created_at + REPORT_ROUND;
+        let each = if is_new {
+            self.even_share
+        } else {
+            proportional_share(0.0, self.total_usual, self.equal_usual)
+        };
         hosts.heard.saturating_sub(reported) as f64 * each
     }
 }
 
-/// The share of a host that is usually asked `own` of `all` a second, beside the
-/// part that each has.
-fn share(own: f64, all: f64, equal: f64) -> f64 {
-    match all {
-        all if all > 0.0 => ((own + equal) / all).min(1.0),
+/// The share that is due to a host with the usual demand `own`, where all hosts
+/// together have `total` and each has `equal` added to its own.
+fn proportional_share(own: f64, total: f64, equal: f64) -> f64 {
+    match total {
+        total if total > 0.0 => ((own + equal) / total).min(1.0),
         _ => 0.0,
     }
 }
 
-impl Line {
-    /// The largest share that its host may hold: an `even` one until it is told one.
-    fn taken(&self, even: f64) -> f64 {
-        self.told.iter().copied().fold(self.held.unwrap_or(even), f64::max)
+impl HostEntry {
+    /// The largest share that the host may be using: the one it reported, or one
+    /// of the last two sent to it. A host that has received none uses the `even`
+    /// one.
+    fn max_share(&self, even: f64) -> f64 {
+        self.sent_shares.iter().copied().fold(self.reported_share.unwrap_or(even), f64::max)
     }
 
-    /// What is asked of its host: as reported, until it must have been found silent.
+    /// The host's demand: constant as reported for [`EXTRAPOLATION_MAX`], decaying
+    /// after that.
     fn demand_at(&self, now: Duration) -> f64 {
-        self.demand.rate(DEMAND_SPAN, now.saturating_sub(MISSED).max(self.at))
+        self.demand.rate(DEMAND_SPAN, now.saturating_sub(EXTRAPOLATION_MAX).max(self.reported_at))
     }
 
-    /// What its host has admitted since its last report, if it goes on as told.
-    fn assumed(&self, now: Duration) -> f64 {
-        let span = now.saturating_sub(self.at).min(MISSED).as_secs_f64();
-        self.demand.rate(DEMAND_SPAN, self.at) * self.pass * span
+    /// Estimate of the units admitted since the host's last report: its demand
+    /// then, times the admission ratio that it was last sent.
+    fn admitted_since_report(&self, now: Duration) -> f64 {
+        let span = now.saturating_sub(self.reported_at).min(EXTRAPOLATION_MAX).as_secs_f64();
+        self.demand.rate(DEMAND_SPAN, self.reported_at) * self.admission_ratio * span
     }
 
-    /// What its host is usually asked; as it was, of one that is not heard.
+    /// The host's usual demand; for an unreachable host as last reported.
     fn usual_at(&self, now: Duration) -> f64 {
-        let now = if self.silent { self.at } else { now };
+        let now = if self.unreachable { self.reported_at } else { now };
         self.usual.rate(USUAL_SPAN, now)
     }
 }
