--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,25 +1,25 @@
-//! How often requests may be sent again, over all hosts, without asking
-//! anyone on the way.
+//! Retry budget: how often requests may be sent again, over all hosts together,
+//! without communication between hosts at that moment.
 //!
 //! Load pattern: an upstream that fails many requests at once, or callers
 //! that repeat at once. Each repeat then adds load to an overloaded service.
-//! The operators allow repeats up to a share of the requests
-//! of a window plus a fixed number, over all hosts together. A share of the
-//! requests adds up by itself: each host takes that share of its own. The
-//! fixed number is divided by the hosts that are up. A margin is kept since
-//! hosts see windows that are not quite the operators'.
+//! The operators allow repeats up to a fraction of the requests of a window plus
+//! a fixed number, over all hosts together. The fraction adds up by itself: each
+//! host applies it to its own requests. The fixed number is divided by the number
+//! of hosts that are up. A margin is kept since the windows of hosts are not
+//! aligned with those of the operators.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the allowance that is used; the rest covers windows in which the load
-/// changes, by up to a quarter.
+/// Fraction of the allowance that is used. The rest covers windows in which the load
+/// changes by up to a quarter.
 const USED_SHARE: f64 = 0.8;
 
-/// Slots a window is divided into; its edge is exact to one slot.
+/// Number of slots that a window is divided into; its start is exact to one slot.
 const SLOTS: u32 = 20;
 
-/// The allowance of one host for one service.
+/// The retry budget of one host for one service.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,12 +36,12 @@
     slots: VecDeque<Slot>,
 }
 
-/// What all hosts together may repeat.
+/// The repeats that the operators allow all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// Share of the requests of a window.
+    /// Fraction of the requests of a window.
     pub ratio: f64,
-    /// Repeats of a window beyond that share.
+    /// Number of repeats in a window in addition to that fraction.
     pub slack: f64,
     /// The window.
     pub window: Duration,
@@ -60,22 +60,23 @@
         Self { allowance, slots: VecDeque::new() }
     }
 
-    /// Counts a caller's request at `now`.
+    /// Counts a caller's request received at `now`.
     pub fn request(&mut self, now: Duration) {
         self.slot(now).requests += 1;
     }
 
-    /// Whether a request may be sent once more at `now`, with `hosts` up;
-    /// if so it is counted.
+    /// Whether a request may be sent once more at `now`, with `hosts` hosts up. If
+    /// so, the repeat is counted.
     pub fn repeat(&mut self, now: Duration, hosts: usize) -> bool {
-        let may = self.has_room(now, hosts);
-        if may {
+        let allowed = self.has_room(now, hosts);
+        if allowed {
             self.slot(now).repeats += 1;
         }
-        may
+        allowed
     }
 
-    /// Whether a request might be sent once more at `now`, with `hosts` up.
+    /// Whether a request might be sent once more at `now`, with `hosts` hosts up;
+    /// nothing is counted.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -1,17 +1,18 @@
-//! Which hosts stand for the duty of ordering weights.
+//! Which hosts are candidates for the leadership of weights rollouts.
 //!
-//! Load pattern: hundreds of hosts, some of 0.12 cores and 10 Mbit/s. The
-//! platform's store deals the duty to one member of a group, and when that is
-//! lost to the next in an order of its own: of 295 members two that could not
-//! carry it took it in turns, and each change costs the bound on turns between
-//! holders.
+//! Load pattern: hundreds of hosts, some with 0.12 cores and 10 Mbit/s. The
+//! platform's store assigns leadership to one member of the candidate group, and
+//! when that is lost, to the next in an order of its own. Of 295 members, two that
+//! were too small to do the work took leadership in turns, and each change costs
+//! the minimum handover interval.
 //!
-//! Limits: the [`CANDIDATES`] hosts with the most room stand. A member that comes
-//! or goes may move the duty, so none does while engines are due to change and
-//! others stand. A host that lost its membership while others saw no
-//! store errors, or cannot reach engines that others reach, rests. Hosts that
-//! are no candidates stand only once nobody else has for a while, and leave
-//! again.
+//! Limits: the [`CANDIDATES`] hosts with the most capacity are candidates, called
+//! the preferred ones here. A member that joins or leaves may move leadership, so
+//! none does while engines are due to change and there are other candidates. A
+//! host cools down, with no capacity, if it lost its membership while others saw
+//! no store errors, or if it cannot reach engines that others reach. Hosts that
+//! are not preferred become candidates only once there has been no other candidate
+//! for a while, and leave the group again.
 
 use std::time::Duration;
 
@@ -19,43 +20,47 @@
 
 use crate::tenure::Stance;
 
-/// Hosts that stand.
+/// Number of preferred candidates.
 pub const CANDIDATES: usize = 16;
 
-/// Hosts that must stand for another to stay out for as long as engines are due
-/// to change; where fewer do, it stays out for a while.
-const ENOUGH: usize = 3;
-const STAYS_OUT: Duration = Duration::from_secs(30);
+/// Number of candidates with which a preferred host does not join at all while
+/// engines are due to change. With fewer, it joins once it has been up for this
+/// time in seconds.
+const MIN_CANDIDATES: usize = 3;
+const JOIN_DELAY: Duration = Duration::from_secs(30);
 
-/// How long nobody may stand before hosts that are no candidates do, beside
-/// two rounds of greetings.
+/// How long there must have been no candidate before hosts that are not preferred
+/// join: this time in seconds plus two rounds of heartbeats.
 const VACANT: Duration = Duration::from_secs(1);
 const VACANT_ROUNDS: u32 = 2;
 
-/// How long a host that is no candidate must have seen no store errors before
-/// it stands: while the store is away, nobody can.
-const NO_ERRORS: Duration = Duration::from_secs(3);
+/// How long a host that is not preferred must have seen no store errors before it
+/// joins, in seconds: while the store is down, no host can be a candidate.
+const ERROR_FREE: Duration = Duration::from_secs(3);
 
-/// Share of the members that see store errors if it is the store that fails.
+/// Fraction of the members (one in so many) that see store errors if the store
+/// itself fails, and not the link of one host.
 const OUTAGE_SHARE: usize = 3;
 
-/// How long others may take to tell of store errors.
-const ERRORS_TOLD: Duration = Duration::from_secs(1);
+/// How long reports of store errors may take to arrive from other hosts, in
+/// seconds.
+const ERROR_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// How long a host rests.
+/// How long a host cools down, in seconds.
 pub const REST: Duration = Duration::from_secs(30);
 
-/// How long an engine may be out of the holder's reach before it hands over.
+/// How long the leader may fail to reach an engine before it hands over, in
+/// seconds.
 const OUT_OF_REACH: Duration = Duration::from_secs(3);
 
-/// Room that a host has for the duty: the scarcer of its processor, in
-/// hundredths of a core, and its link, in megabits a second; none while it
-/// rests.
+/// A host's capacity to lead rollouts: the smaller of its processor share, in
+/// hundredths of a core, and its link speed, in megabits a second. Zero while the
+/// host cools down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Room(pub u32);
 
 impl Room {
-    /// The room of a host with `cores` and a link of `mbps`.
+    /// The capacity of a host with `cores` and a link of `mbps`.
     ///
     /// ```
     /// use marjoram_core::candidacy::Room;
@@ -67,52 +72,52 @@
     }
 }
 
-/// A host's place among the candidates: by room, then by a hash of its name.
+/// Order of hosts as candidates: by capacity, then by a hash of the name.
 pub type Rank = (Room, u64);
 
-/// Another host as it tells of itself.
+/// Another host, as its last heartbeat describes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Other {
-    /// How it stands to the duty.
+    /// Its candidate status.
     pub stance: Stance,
-    /// Its place.
+    /// Its rank.
     pub rank: Rank,
     /// How long ago it last saw a store error.
     pub errors: Option<Duration>,
 }
 
-/// What a host knows when it decides whether to stand.
+/// What a host knows when it decides whether to be a candidate.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// How long it has been up.
+    /// How long its process has been up.
     pub up: Duration,
-    /// How long no other host has stood.
+    /// How long there has been no other candidate.
     pub vacant: Duration,
-    /// Time in which hosts hear from each other once.
+    /// Time in which each host receives one heartbeat from every other.
     pub round: Duration,
-    /// Engines are due to change.
+    /// Whether engines are due to change their weights.
     pub pending: bool,
-    /// Its place; no room while it rests.
+    /// Its rank; with no capacity while it cools down.
     pub rank: Rank,
     /// How long ago it last saw a store error.
     pub errors: Option<Duration>,
-    /// The other hosts that take callers.
+    /// The other hosts that accept requests.
     pub others: Vec<Other>,
 }
 
 impl View {
-    /// Other hosts that stand.
+    /// Number of other candidates.
     pub fn standing(&self) -> usize {
         self.others.iter().filter(|o| o.stance == Stance::Stands).count()
     }
 
-    /// Whether this host is one of the candidates.
-    fn is_candidate(&self) -> bool {
+    /// Whether this host is one of the preferred candidates.
+    fn is_preferred(&self) -> bool {
         let above = self.others.iter().filter(|o| o.rank > self.rank).count();
         above < CANDIDATES && self.rank.0 > Room::default()
     }
 
-    /// Whether the host is to join the group.
+    /// Whether the host is to join the candidate group.
     ///
     /// ```
     /// use std::time::Duration;
@@ -140,26 +145,28 @@
     /// ```
     pub fn joins(&self) -> bool {
         let is_vacant = self.standing() == 0;
-        match self.is_candidate() {
+        match self.is_preferred() {
             true => {
-                let few = self.standing() < ENOUGH && self.up >= STAYS_OUT;
-                is_vacant || !self.pending || few
+                let too_few = self.standing() < MIN_CANDIDATES && self.up >= JOIN_DELAY;
+                is_vacant || !self.pending || too_few
             }
             false => {
                 let vacant = self.vacant >= VACANT + self.round * VACANT_ROUNDS;
-                is_vacant && vacant && self.errors.is_none_or(|age| age >= NO_ERRORS)
+                is_vacant && vacant && self.errors.is_none_or(|age| age >= ERROR_FREE)
             }
         }
     }
 
-    /// Whether a member is to leave the group again: enough others stand.
+    /// Whether a member is to leave the group again: it is not preferred, and there are
+    /// enough other candidates.
     pub fn leaves(&self) -> bool {
-        !self.pending && !self.is_candidate() && self.standing() >= CANDIDATES
+        !self.pending && !self.is_preferred() && self.standing() >= CANDIDATES
     }
 
-    /// Whether a host that was no member for the last `lapse` rests: most
-    /// others that would be members saw no store errors in that time, or none is
-    /// heard, so it is not the store that failed.
+    /// Whether a host that the store has not confirmed for `lapse` is to cool down,
+    /// as the fault is its own and not the store's: fewer than one in
+    /// `OUTAGE_SHARE` of the other members saw store errors in that time, or there
+    /// are none that it knows of.
     ///
     /// ```
     /// use std::time::Duration;
@@ -182,24 +189,25 @@
     /// ```
     pub fn rests(&self, lapse: Duration) -> bool {
         let members = || self.others.iter().filter(|o| o.stance != Stance::Idle);
-        let within = |age: Duration| age <= lapse + ERRORS_TOLD;
-        let saw = members().filter(|o| o.errors.is_some_and(within)).count();
-        saw * OUTAGE_SHARE < members().count() || members().count() == 0
+        let within = |age: Duration| age <= lapse + ERROR_REPORT_DELAY;
+        let affected = members().filter(|o| o.errors.is_some_and(within)).count();
+        affected * OUTAGE_SHARE < members().count() || members().count() == 0
     }
 }
 
-/// An engine that is due to change and that the holder cannot reach.
+/// An engine that is due to change its weights and that the leader cannot reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Unreached {
-    /// For how long it has tried, while no other host doubted the engine.
+    /// For how long the leader has tried, while no other host reported the engine as
+    /// unreachable.
     pub tried: Duration,
-    /// Other hosts have requests there.
+    /// Whether other hosts have requests in flight there.
     pub used: bool,
 }
 
-/// Whether the holder hands the duty over at once: an engine that others reach
-/// has been out of its reach, while it changes no other (`changing`) and
-/// another host stands.
+/// Whether the leader is to hand over at once: it has failed to reach an engine that
+/// others reach for too long, no engine is changing its weights (`changing`), and
+/// there is another candidate (`stands`).
 ///
 /// ```
 /// use std::time::Duration;
@@ -214,6 +222,6 @@
     changing: usize,
     stands: bool,
 ) -> bool {
-    let out = |engine: Unreached| engine.used && engine.tried >= OUT_OF_REACH;
-    stands && changing == 0 && unreached.into_iter().any(out)
+    let is_out_of_reach = |engine: Unreached| engine.used && engine.tried >= OUT_OF_REACH;
+    stands && changing == 0 && unreached.into_iter().any(is_out_of_reach)
 }
--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -1,16 +1,17 @@
-//! Eras of the platform's store, and fencing tokens across them.
+//! Eras of the platform's store, and fencing tokens that stay monotonic across them.
 //!
-//! Load pattern: the store may go away and return from a copy that is some
-//! seconds old. What it acknowledged since is gone: offsets are given out
-//! again, a group's generation goes back, members hold what they held then.
+//! Load pattern: the store may go down and return from a backup that is some
+//! seconds old. What it acknowledged since the backup is lost: offsets are assigned
+//! again, a group's generation goes back, and members have the assignments that
+//! they had then.
 //!
-//! Limits: what was read in one era says nothing of positions in another.
+//! Limits: positions read in one era say nothing about positions in another.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How often the store has returned from a copy; zero where it does not say.
+/// How often the store has returned from a backup; zero if it does not report that.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,11 +24,12 @@
     }
 }
 
-/// Bits of a token's number below its era.
+/// Number of low bits of a token's number that carry the generation; the era is in
+/// the bits above.
 const GENERATION_BITS: u32 = 32;
 
-/// A fencing token: a group's generation in an era of the store. It never
-/// falls, though the generation does when the store returns from a copy.
+/// A fencing token: a group's generation in an era of the store. Tokens never
+/// decrease, though the generation does when the store returns from a backup.
 ///
 /// ```
 /// use marjoram_core::era::{Era, Token};
@@ -49,17 +51,17 @@
         Self { era, generation }
     }
 
-    /// The era in which it was dealt.
+    /// The era in which the store assigned it.
     pub fn era(self) -> Era {
         self.era
     }
 
-    /// The last generation heard of in `era`; zero if it is of another one.
+    /// The generation, if the token is of `era`; zero if it is of another one.
     pub fn generation_in(self, era: Era) -> u64 {
         if self.era == era { self.generation } else { 0 }
     }
 
-    /// The number that upstreams compare. It rises with each era as long as a
+    /// The number that upstreams compare. It rises with each era as long as the
     /// generation goes back by less than 2^32.
     pub fn number(self) -> u64 {
         (self.era.0 << GENERATION_BITS).saturating_add(self.generation)
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,27 +1,26 @@
-//! A lease kept in the log service, with a fencing token.
+//! A lease with a fencing token, kept in the log service.
 //!
-//! One router at a time keeps the fleet's single-writer duties (orders to
-//! engines, configuration snapshots). Which one is settled in the log
-//! service's `lease` stream, through its conditional append (append only
-//! if the stream ends at a given offset): a record in the stream is a grant,
-//! and the last record is the grant in force. No clock of the log service
-//! is trusted:
+//! One router at a time does the fleet's single-writer work (orders to engines,
+//! configuration snapshots). Which one is decided by the log service's `lease`
+//! stream, through its conditional append (append only if the stream ends at a
+//! given offset): each record in the stream is a grant, and the last record is the
+//! grant in force. The clock of the log service is not trusted:
 //!
-//! - The holder counts its lease from the moment *before* it sent the append.
+//! - The lease holder counts its lease from the moment *before* it sent the append.
 //! - A challenger counts the same time to live from the moment *after* it
 //!   first read that record, plus a margin, and only then appends its own.
 //!
 //! So the holder stops before any challenger starts, however long answers
 //! take, as long as the clocks' rates differ by less than the margin. Clocks
 //! are monotonic and count time spent suspended (`CLOCK_BOOTTIME`), so a
-//! paused holder finds its lease over when it wakes. An append whose answer
-//! is lost never extends a lease; one carried out late fails its condition
-//! or yields a grant nobody acts on, which runs out.
+//! paused holder finds on resuming that its lease has expired. An append whose
+//! answer is lost never extends a lease; one carried out late fails its condition
+//! or yields a grant that nobody acts on, which expires.
 //!
-//! The fencing token is the offset of the record that began the tenure, so
-//! it rises with every change of holder. Receivers that check tokens refuse
+//! The fencing token is the offset of the record with which the holder took over,
+//! so it rises with every change of holder. Receivers that check tokens refuse
 //! a holder that was paused between its check and its order; for those that
-//! do not, the margin must cover the time an order takes to arrive.
+//! do not, the margin must cover the time that an order takes to arrive.
 
 use std::time::Duration;
 
@@ -29,7 +28,8 @@
 
 use crate::ids::{Fencing, Offset};
 
-/// The share of the time to live that is kept as a margin on either side.
+/// Fraction of the time to live (one in so many) that is kept as a margin by the
+/// holder before the end of its lease, and by a challenger after it.
 const MARGIN_SHARE: u32 = 4;
 
 /// One grant in the `lease` stream.
@@ -38,21 +38,22 @@
 pub struct Grant {
     /// Who holds the lease: unique per process start.
     pub owner: String,
-    /// The tenure's token; absent in its first record, whose offset it is.
+    /// The fencing token. Absent in the first record of a holder, whose offset is the
+    /// token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token: Option<Fencing>,
-    /// Time to live in milliseconds; 0 gives the lease up.
+    /// Time to live in milliseconds; 0 releases the lease.
     pub ttl_ms: u64,
 }
 
 impl Grant {
-    /// The fencing token of the grant found at `offset`.
+    /// The fencing token of the grant in the record at `offset`.
     pub fn token(&self, offset: Offset) -> Fencing {
         self.token.unwrap_or(Fencing(offset.0))
     }
 }
 
-/// A conditional append a contender wants made.
+/// A conditional append that a contender asks its caller to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Attempt {
     /// The offset at which the stream must end.
@@ -61,16 +62,16 @@
     pub grant: Grant,
 }
 
-/// The end of the `lease` stream as one read found it.
+/// The end of the `lease` stream, as returned by one read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tail {
-    /// Offset the next append will get.
+    /// Offset of the next append.
     pub next: Offset,
     /// The last record, unless it expired or there is none.
     pub last: Option<Grant>,
 }
 
-/// One router's side of the lease.
+/// One router's state in the competition for the lease.
 ///
 /// Times are durations on one monotonic clock that counts suspension.
 ///
@@ -93,49 +94,50 @@
     owner: String,
     ttl: Duration,
     tail: Option<Tail>,
-    /// When the tail was first read as it is now.
+    /// When the tail was first read in its present state.
     since: Duration,
-    tenure: Option<Tenure>,
+    held: Option<HeldLease>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Tenure {
+struct HeldLease {
     token: Fencing,
-    /// Offset of our last grant.
+    /// Offset of this router's last grant.
     last: Offset,
-    /// When that grant runs out, on our clock.
+    /// When that grant expires, on this router's clock.
     until: Duration,
 }
 
 impl Contender {
     /// A contender called `owner`, asking for `ttl` at a time.
     pub fn new(owner: impl Into<String>, ttl: Duration) -> Self {
-        Self { owner: owner.into(), ttl, tail: None, since: Duration::ZERO, tenure: None }
+        Self { owner: owner.into(), ttl, tail: None, since: Duration::ZERO, held: None }
     }
 
-    /// The margin kept before a lease runs out and after it has.
+    /// The margin kept before and after the end of a lease.
     pub fn margin(&self) -> Duration {
         self.ttl / MARGIN_SHARE
     }
 
-    /// Takes in the stream's end, read by an answer that came at `now`.
+    /// Applies a read of the stream's end, whose answer was received at `now`.
     pub fn observe(&mut self, tail: Tail, now: Duration) {
         if self.tail.as_ref() != Some(&tail) {
             self.since = now;
         }
-        let ours = |t: &Tenure| tail.next == Offset(t.last.0 + 1);
-        self.tenure = self.tenure.filter(ours);
+        let is_own = |held: &HeldLease| tail.next == Offset(held.last.0 + 1);
+        self.held = self.held.filter(is_own);
         self.tail = Some(tail);
     }
 
-    /// The append to make at `now`, if any: a renewal when a third of our
-    /// lease is gone, or a take-over when another's is surely over.
+    /// The append to make at `now`, if any: a renewal once a third of the own lease has
+    /// passed, or a takeover once the lease of another router is certain to have
+    /// expired.
     pub fn attempt(&self, now: Duration) -> Option<Attempt> {
         let tail = self.tail.as_ref()?;
-        let tenure = self.tenure.filter(|t| now < t.until);
+        let held = self.held.filter(|held| now < held.until);
         let released = tail.last.as_ref().is_some_and(|last| last.ttl_ms == 0);
-        let token = match tenure {
-            Some(tenure) if now + self.ttl * 2 / 3 >= tenure.until => Some(tenure.token),
+        let token = match held {
+            Some(held) if now + self.ttl * 2 / 3 >= held.until => Some(held.token),
             None if released || self.expired(tail, now) => None,
             _ => return None,
         };
@@ -144,7 +146,8 @@
         Some(Attempt { at: tail.next, grant })
     }
 
-    /// Whether the grant at the stream's end is surely over, whoever's it is.
+    /// Whether the grant at the stream's end is certain to have expired, whoever holds
+    /// it.
     fn expired(&self, tail: &Tail, now: Duration) -> bool {
         let ttl = match &tail.last {
             Some(last) => Duration::from_millis(last.ttl_ms),
@@ -157,29 +160,29 @@
     pub fn granted(&mut self, attempt: &Attempt, sent: Duration) {
         let token = attempt.grant.token(attempt.at);
         let next = Offset(attempt.at.0 + 1);
-        self.tenure = Some(Tenure { token, last: attempt.at, until: sent + self.ttl });
+        self.held = Some(HeldLease { token, last: attempt.at, until: sent + self.ttl });
         self.tail = Some(Tail { next, last: Some(attempt.grant.clone()) });
         self.since = sent;
     }
 
-    /// The record that gives the lease up, if we hold it.
+    /// The append that releases the lease, if this router holds it.
     pub fn release(&self) -> Option<Attempt> {
-        let tenure = self.tenure?;
-        let grant = Grant { owner: self.owner.clone(), token: Some(tenure.token), ttl_ms: 0 };
-        Some(Attempt { at: Offset(tenure.last.0 + 1), grant })
+        let held = self.held?;
+        let grant = Grant { owner: self.owner.clone(), token: Some(held.token), ttl_ms: 0 };
+        Some(Attempt { at: Offset(held.last.0 + 1), grant })
     }
 
-    /// Forgets a tenure: the caller is about to release it.
+    /// Stops counting as the holder: the caller is about to release the lease.
     pub fn resign(&mut self) {
-        self.tenure = None;
+        self.held = None;
     }
 
-    /// Our fencing token, while the lease holds for at least a margin more.
+    /// This router's fencing token, while its lease lasts for more than the margin.
     pub fn token(&self, now: Duration) -> Option<Fencing> {
-        self.tenure.filter(|t| now + self.margin() < t.until).map(|t| t.token)
+        self.held.filter(|held| now + self.margin() < held.until).map(|held| held.token)
     }
 
-    /// The owner named by the last grant read, for the state dump.
+    /// The lease holder according to the last grant read, for the state dump.
     pub fn holder(&self) -> Option<&str> {
         let last = self.tail.as_ref()?.last.as_ref()?;
         (last.ttl_ms > 0).then_some(last.owner.as_str())
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,37 +1,40 @@
-//! In which order engines are brought to newly named weights.
+//! The order in which engines change to newly announced weights.
 //!
-//! Load pattern: weights named every few seconds, under full load. An engine
-//! finishes what it runs, loads for half a second, longer while many load,
-//! and has lost its cache. Too few at a time and requests run on replaced
-//! weights; too many and the others are overloaded. Only the newest version is
-//! ever ordered: one that was replaced before an engine got to it is skipped.
+//! Load pattern: new weights are announced every few seconds, under full load. An
+//! engine finishes the requests in flight, loads for half a second (longer while
+//! many engines load), and has lost its cache afterwards. With too few engines
+//! changing at a time, requests run on replaced weights; with too many, the
+//! remaining ones are overloaded. Only the newest version is ever ordered: a
+//! version that is replaced before an engine gets to it is skipped.
 //!
 //! Limits: a fifth of the engines load at a time, as the operators publish for
-//! their sites, three at least. An engine that still finishes requests, which
-//! can take seconds, does not count as loading; up to half of all may be
-//! closed. Engines on the oldest weights go first, since each version is to be
-//! out of use within a bound of its own; among those the ones with the least
-//! to finish, since an engine cannot load while it still runs requests.
+//! their sites, but at least three. An engine that still finishes requests, which
+//! can take seconds, does not count as loading; up to half of all engines may be
+//! closed to new requests. Engines on the oldest weights go first, since each
+//! version must be out of use within a time limit of its own. Among those, the
+//! ones with the least work left go first, since an engine cannot load while it
+//! still runs requests.
 
 use std::time::Duration;
 
 use crate::upstream::Life;
 
-/// Engines that load at once: one in so many.
+/// Fraction of the engines that load at once: one in so many.
 const LOADING_SHARE: usize = 5;
-/// Engines that may be closed at once, loading or not: one in so many.
+/// Fraction of the engines that may be closed to new requests at once, loading or
+/// not: one in so many.
 const CLOSED_SHARE: usize = 2;
-/// Engines that may load, or be closed, at once on a site of any size.
+/// Number of engines that may load, or be closed, at once on a site of any size.
 const MIN_LOADING: usize = 3;
 
-/// Versions remembered: more are never open at once.
+/// Maximum number of versions kept: more are never in use at once.
 const MAX_VERSIONS: usize = 32;
 
-/// Assumed age of weights that were already named when this process started,
-/// until another host reports it.
+/// Assumed age in seconds of weights that were announced before this process
+/// started, until another host reports their age.
 const ASSUMED_AGE: Duration = Duration::from_secs(3);
 
-/// The weights named for one model, and when each version was.
+/// The weights versions announced for one model, and when each was announced.
 ///
 /// ```
 /// use std::time::Duration;
@@ -48,41 +51,42 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Named {
-    /// Versions in rising order.
+    /// In ascending order of their numbers.
     versions: Vec<Version>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Version {
     number: u64,
-    /// How long before `seen` it was named.
-    before: Duration,
-    seen: Duration,
-    /// Whether that is known, not [`ASSUMED_AGE`].
-    known: bool,
+    /// How long before `seen_at` it was announced.
+    age_when_seen: Duration,
+    seen_at: Duration,
+    /// Whether that time is known; if not, it is [`ASSUMED_AGE`].
+    age_known: bool,
 }
 
 impl Version {
     fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.seen) + self.before
+        now.saturating_sub(self.seen_at) + self.age_when_seen
     }
 }
 
 impl Named {
-    /// Nothing named.
+    /// No versions.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records that `version` was named just before `now`; whether it is new.
+    /// Records that `version` was announced just before `now`, and returns whether it
+    /// is the newest.
     pub fn name(&mut self, version: u64, now: Duration) -> bool {
-        self.enter(version, Duration::ZERO, now, true)
+        self.insert_newest(version, Duration::ZERO, now, true)
     }
 
-    /// Records that `version` had been named when this process started;
-    /// whether it is new.
+    /// Records that `version` was announced before this process started, and returns
+    /// whether it is the newest.
     pub fn found(&mut self, version: u64, now: Duration) -> bool {
-        self.enter(version, ASSUMED_AGE, now, false)
+        self.insert_newest(version, ASSUMED_AGE, now, false)
     }
 
     /// Records that another host has known of `version` for `age`.
@@ -97,24 +101,36 @@
     /// assert_eq!(named.replaced(1, now), Some(Duration::from_secs(6)));
     /// ```
     pub fn told(&mut self, version: u64, age: Duration, now: Duration) {
-        let told = Version { number: version, before: age, seen: now, known: true };
+        let reported =
+            Version { number: version, age_when_seen: age, seen_at: now, age_known: true };
         let at = self.versions.partition_point(|v| v.number < version);
         match self.versions.get_mut(at) {
-            Some(entry) if entry.number == version && entry.known && age <= entry.age(now) => {}
-            Some(entry) if entry.number == version => *entry = told,
-            // The store lists only the newest to a host that starts: one that
-            // was named between is known from other hosts alone.
-            Some(_) => self.versions.insert(at, told),
-            // Newer than any this host knows: it will be read from the store.
+            Some(entry) if entry.number == version && entry.age_known && age <= entry.age(now) => {}
+            Some(entry) if entry.number == version => *entry = reported,
+            // The store lists only the newest version to a host that starts, so one
+            // announced between is known only from other hosts.
+            Some(_) => self.versions.insert(at, reported),
+            // Newer than any that this host knows: it will be read from the store.
             None => {}
         }
     }
 
-    fn enter(&mut self, version: u64, before: Duration, now: Duration, known: bool) -> bool {
+    fn insert_newest(
+        &mut self,
+        version: u64,
+        age: Duration,
+        now: Duration,
+        age_known: bool,
+    ) -> bool {
         if self.newest().is_some_and(|newest| version <= newest) {
             return false;
         }
-        self.versions.push(Version { number: version, before, seen: now, known });
+        self.versions.push(Version {
+            number: version,
+            age_when_seen: age,
+            seen_at: now,
+            age_known,
+        });
         if self.versions.len() > MAX_VERSIONS {
             self.versions.remove(0);
         }
@@ -131,18 +147,18 @@
         self.versions.iter().find(|v| v.number > version).map(|v| v.age(now))
     }
 
-    /// The versions of which it is known when they were named, and their ages
-    /// at `now`, up to `max_age`.
+    /// The versions whose announcement time is known, with their ages at `now`, up to
+    /// `max_age`.
     pub fn ages(&self, now: Duration, max_age: Duration) -> Vec<(u64, Duration)> {
-        let known = self.versions.iter().filter(|v| v.known);
+        let known = self.versions.iter().filter(|v| v.age_known);
         known.map(|v| (v.number, v.age(now))).filter(|(_, age)| *age <= max_age).collect()
     }
 }
 
-/// The version that an engine is taken to serve after it refused a request
-/// meant for version `asked`, where it then `reported` one, and `newest` is
-/// named. A report of the version that it has just refused is out of date: most
-/// likely the engine has changed to the newest since.
+/// The version that an engine is assumed to serve after it refused a request for
+/// version `asked`, where `reported` is the version in its report and `newest` the
+/// newest one announced. A report of the version that it has just refused is out
+/// of date: most likely the engine has since changed to the newest.
 ///
 /// ```
 /// use marjoram_core::rollout::after_refusal;
@@ -154,22 +170,22 @@
     reported.filter(|reported| *reported != asked).or(newest).unwrap_or(asked)
 }
 
-/// One engine, as far as its weights are concerned.
+/// The state of one engine in a rollout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The engine.
+    /// Its incarnation.
     pub life: Life,
     /// The version it serves.
     pub version: u64,
-    /// The version it has been ordered to, with no outcome yet.
+    /// The version that it has been ordered to load, while the outcome is not known.
     pub changing: Option<u64>,
-    /// Nothing is ordered of it before then: an order failed.
+    /// Time before which it gets no order, since one failed.
     pub pause: Option<Duration>,
-    /// Requests it has to finish first.
+    /// Number of requests that it has to finish first.
     pub work: u64,
 }
 
-/// The engines to be ordered to `version` at `now`, in that order.
+/// The engines to be ordered to load `version` at `now`, in that order.
 ///
 /// ```
 /// use std::time::Duration;
@@ -189,13 +205,14 @@
 pub fn next(engines: &[Engine], version: u64, now: Duration) -> Vec<Life> {
     let changing = || engines.iter().filter(|e| e.changing.is_some());
     let loading = changing().filter(|e| e.work == 0).count();
-    let room = (engines.len() / LOADING_SHARE).max(MIN_LOADING).saturating_sub(loading);
-    let closed = (engines.len() / CLOSED_SHARE).max(MIN_LOADING).saturating_sub(changing().count());
+    let loading_slots = (engines.len() / LOADING_SHARE).max(MIN_LOADING).saturating_sub(loading);
+    let closed_slots =
+        (engines.len() / CLOSED_SHARE).max(MIN_LOADING).saturating_sub(changing().count());
     let mut due: Vec<&Engine> = engines
         .iter()
         .filter(|e| e.version < version && e.changing.is_none())
         .filter(|e| e.pause.is_none_or(|until| now >= until))
         .collect();
     due.sort_by(|a, b| (a.version, a.work, &a.life).cmp(&(b.version, b.work, &b.life)));
-    due.into_iter().take(room.min(closed)).map(|e| e.life.clone()).collect()
+    due.into_iter().take(loading_slots.min(closed_slots)).map(|e| e.life.clone()).collect()
 }
--- a/crates/core/src/tenure.rs
+++ b/crates/core/src/tenure.rs
@@ -1,27 +1,30 @@
-//! One host's tenure of a duty that a group in the platform's store deals.
+//! One host's leadership of weights rollouts, which the platform's store assigns to
+//! one member of a group.
 //!
-//! Load pattern: the store deals the duty to one member at a time and numbers
-//! each change, but hosts freeze, are cut off, hear of a loss late or never,
-//! and are dealt the duty again after they had lost it. Upstreams that do not
-//! compare tokens carry out whatever reaches them, so two hosts must never
-//! order within the operators' bound on turns between holders.
+//! Load pattern: the store assigns leadership to one member at a time and numbers
+//! each change. But hosts freeze, are partitioned, learn late or never that they
+//! have lost leadership, and are assigned it again after that. Upstreams that do
+//! not compare fencing tokens carry out every order that reaches them, so the
+//! orders of two hosts must always be apart by the operators' minimum handover
+//! interval.
 //!
-//! Limits: a holder orders only while its lease surely lasts, counted from
-//! before it asked for it, on a clock that counts suspension, less a margin
-//! for an order on its way; and only once the bound on turns has passed since
-//! it was dealt the duty and the store has confirmed it after that. One that
-//! could order and is dealt the duty again within that bound since the store
-//! last confirmed it goes on at once: any other holder would still be waiting,
-//! and finds out at its confirmation that it has lost the duty. (The store
-//! would have to move the duty by itself twice within the bound to break
-//! this.)
+//! Limits: a leader gives orders only while its lease is certain to last. The
+//! lease is counted from before the request for it, on a clock that counts
+//! suspension, less a margin for an order in transit. It also waits until the
+//! handover interval has passed since it was assigned leadership and the store has
+//! confirmed it after that. A leader that was already allowed to give orders and is
+//! assigned leadership again within the handover interval after the store last
+//! confirmed it goes on at once: any other leader would still be waiting, and
+//! learns at its confirmation that it has lost leadership. (The store would have
+//! to move leadership twice by itself within the interval to break this.)
 //!
-//! A store that returns from a copy may deal the duty to a former holder while
-//! the last one still counts on its lease. That one asked for it before the
-//! return, so its lease is over one lease after any host has met the new era:
-//! the bound on turns of a tenure that begins sooner runs from then. A holder
-//! that could order and that the new era confirms goes on: whoever was dealt
-//! the duty meanwhile is still waiting. One that was waiting begins anew.
+//! A store that returns from a backup may assign leadership to a former leader
+//! while the last one still relies on its lease. That one asked for its lease
+//! before the return, so the lease ends at the latest one lease duration after any
+//! host has first seen the new era. The handover interval of a term that begins
+//! sooner is counted from then. A leader that was allowed to give orders and that
+//! is confirmed in the new era goes on: whoever was assigned leadership meanwhile
+//! is still waiting. A leader that was still waiting starts a new term.
 
 use std::time::Duration;
 
@@ -29,24 +32,25 @@
 
 use crate::era::{Era, Token};
 
-/// How long a member may take to be confirmed for the first time.
+/// How long the store may take to confirm a new member for the first time, in
+/// seconds.
 const FIRST_JOIN: Duration = Duration::from_secs(1);
 
-/// How a host stands to the duty, as hosts tell each other.
+/// Whether a host is a candidate for leadership, as hosts report to each other.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stance {
-    /// It is no member of the group.
+    /// It is not a member of the candidate group.
     #[default]
     Idle,
-    /// It is a member.
+    /// It is a member of the group, and so may become leader.
     Stands,
-    /// It would be a member, but the store does not confirm it.
+    /// It tries to be a member, but the store does not confirm it.
     Fails,
 }
 
 impl Stance {
-    /// The stance at `now` of a host that has been a member since `joined`,
-    /// last confirmed for `lease` at `confirmed`.
+    /// The status at `now` of a host that joined at `joined`, and that the store last
+    /// confirmed for `lease` at `confirmed`.
     pub fn new(
         joined: Option<Duration>,
         confirmed: Option<Duration>,
@@ -62,30 +66,31 @@
     }
 }
 
-/// Part of the lease at its end that is not used: an order takes a few
-/// milliseconds to arrive.
+/// Time before the end of the lease from which no orders are given, in
+/// milliseconds. It covers the few milliseconds that an order takes to arrive.
 pub const MARGIN: Duration = Duration::from_millis(400);
 
-/// What an answer of the store meant for this host.
+/// The effect of an answer of the store on this host's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dealt {
-    /// As before.
+    /// Nothing changed.
     Unchanged,
-    /// The duty is now this host's, under this token.
+    /// This host is now the leader.
     Taken {
         /// The fencing token of its orders.
         token: Token,
-        /// When the bound on turns began to run.
+        /// The time from which the handover interval is counted.
         since: Duration,
     },
-    /// The duty, held under this token, is another's.
+    /// This host is no longer the leader.
     Lost {
-        /// The token it had.
+        /// The fencing token that it had.
         token: Token,
     },
 }
 
-/// A host's side of the duty. All times are of a clock that counts suspension.
+/// One host's view of its leadership. All times are of a clock that counts
+/// suspension.
 ///
 /// ```
 /// use std::time::Duration;
@@ -96,7 +101,7 @@
 /// let token = Token::new(Era(0), 7);
 /// tenure.dealt(true, token, ms(10), ms(14), ms(3_000));
 /// assert_eq!(tenure.token(ms(1_000), ms(3_000)), None);
-/// // Renewed while the bound on turns passes, and confirmed after it.
+/// // Renewed while the handover interval passes, and confirmed after it.
 /// tenure.dealt(true, token, ms(2_000), ms(2_004), ms(3_000));
 /// assert_eq!(tenure.token(ms(3_014), ms(3_000)), None);
 /// tenure.dealt(true, token, ms(3_014), ms(3_018), ms(3_000));
@@ -106,86 +111,91 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Tenure {
-    /// How long the store is asked to keep the member.
+    /// Duration of the lease that the store is asked for.
     lease: Duration,
-    /// Until when the lease surely lasts.
+    /// Until when the lease is certain to last.
     until: Duration,
-    /// The token and when the tenure began, while the duty is held.
-    held: Option<(Token, Duration)>,
-    /// When the last tenure began, and when the store last confirmed it.
-    last: Option<(Duration, Duration)>,
-    /// The newest era met, and until when leases of those before may last. A
-    /// host that starts cannot know when its first one began.
+    /// While this host is the leader: its token, and when its term began.
+    term: Option<(Token, Duration)>,
+    /// When the last term began, and when the last request was sent that the store
+    /// answered by confirming it.
+    last_term: Option<(Duration, Duration)>,
+    /// The newest era seen, and until when leases of earlier eras may last. That is
+    /// counted from when this host first saw the era: a host that has just started
+    /// cannot know when the era began.
     era: (Era, Duration),
 }
 
 impl Tenure {
-    /// No duty held; the store is asked for leases of `lease`.
+    /// No leadership; the store is asked for leases of `lease`.
     pub fn new(lease: Duration) -> Self {
-        Self { lease, until: Duration::ZERO, held: None, last: None, era: Default::default() }
+        Self { lease, until: Duration::ZERO, term: None, last_term: None, era: Default::default() }
     }
 
-    /// The store, asked at `asked` and heard at `now`, dealt the duty to this
-    /// host under `token`, or not. Holders must be `turns` apart. An answer of
-    /// an earlier era than the last one's changes nothing.
+    /// Applies an answer of the store, requested at `asked` and received at `now`:
+    /// whether leadership is `held` by this host, and the token of the assignment.
+    /// `handover` is the minimum handover interval. An answer of an earlier era than
+    /// the last one's changes nothing.
     pub fn dealt(
         &mut self,
         held: bool,
         token: Token,
         asked: Duration,
         now: Duration,
-        turns: Duration,
+        handover: Duration,
     ) -> Dealt {
         let (era, _) = self.era;
         if token.era() < era {
             return Dealt::Unchanged;
         }
-        let risen = token.era() > era;
-        if risen {
+        let is_new_era = token.era() > era;
+        if is_new_era {
             self.era = (token.era(), now + self.lease);
         }
-        match (held, self.held) {
-            (true, Some((_, since))) if now < self.until && (!risen || self.has_settled(turns)) => {
-                // The store may have moved the duty away and back unheard:
-                // the newest number is above any other holder's.
-                self.held = Some((token, since));
+        match (held, self.term) {
+            (true, Some((_, since)))
+                if now < self.until && (!is_new_era || self.could_order(handover)) =>
+            {
+                // The store may have moved leadership away and back unnoticed. The
+                // newest token is above that of any leader in between.
+                self.term = Some((token, since));
                 self.confirm(since, asked);
                 Dealt::Unchanged
             }
             (true, _) => {
-                let since = self.resumed(asked, turns).unwrap_or(now.max(self.era.1));
-                self.held = Some((token, since));
+                let since = self.resumable_since(asked, handover).unwrap_or(now.max(self.era.1));
+                self.term = Some((token, since));
                 self.confirm(since, asked);
                 Dealt::Taken { token, since }
             }
             (false, Some((token, _))) => {
-                self.held = None;
+                self.term = None;
                 Dealt::Lost { token }
             }
             (false, None) => Dealt::Unchanged,
         }
     }
 
-    /// Gives the duty up.
+    /// Gives up leadership.
     pub fn release(&mut self) {
-        self.held = None;
+        self.term = None;
         self.until = Duration::ZERO;
     }
 
-    /// Whether the duty is this host's, though it may not order yet.
+    /// Whether this host is the leader, even if it may not give orders yet.
     pub fn is_held(&self) -> bool {
-        self.held.is_some()
+        self.term.is_some()
     }
 
-    /// The fencing token, while orders may be given at `now`.
-    pub fn token(&self, now: Duration, turns: Duration) -> Option<Token> {
-        let (token, since) = self.held?;
-        let confirmed = self.last.is_some_and(|(_, asked)| asked >= since + turns);
+    /// The fencing token if this host may give orders at `now`.
+    pub fn token(&self, now: Duration, handover: Duration) -> Option<Token> {
+        let (token, since) = self.term?;
+        let confirmed = self.last_term.is_some_and(|(_, asked)| asked >= since + handover);
         (now + MARGIN < self.until && confirmed).then_some(token)
     }
 
-    /// When the store is to be asked next at `now`: `renewals` times a lease,
-    /// and as soon as the bound on turns has passed.
+    /// The time from `now` until the store is to be asked next: `renewals` times in a
+    /// lease, and as soon as the handover interval has passed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -197,28 +207,31 @@
     /// assert_eq!(tenure.pause(ms(14), ms(3_000), 4), ms(500));
     /// assert_eq!(tenure.pause(ms(2_914), ms(3_000), 4), ms(100));
     /// ```
-    pub fn pause(&self, now: Duration, turns: Duration, renewals: u32) -> Duration {
+    pub fn pause(&self, now: Duration, handover: Duration, renewals: u32) -> Duration {
         let usual = self.lease / renewals;
-        match self.held {
-            Some((_, since)) if now < since + turns => usual.min(since + turns - now),
+        match self.term {
+            Some((_, since)) if now < since + handover => usual.min(since + handover - now),
             _ => usual,
         }
     }
 
-    /// Whether the store confirmed the last tenure after the bound on turns.
-    fn has_settled(&self, turns: Duration) -> bool {
-        self.last.is_some_and(|(since, confirmed)| confirmed >= since + turns)
+    /// Whether the store confirmed the last term after the handover interval, so that
+    /// this host was allowed to give orders in it.
+    fn could_order(&self, handover: Duration) -> bool {
+        self.last_term.is_some_and(|(since, confirmed)| confirmed >= since + handover)
     }
 
+    /// Records that the store confirmed the term that began at `since`, in its answer
+    /// to a request sent at `asked`.
     fn confirm(&mut self, since: Duration, asked: Duration) {
-        self.last = Some((since, asked));
+        self.last_term = Some((since, asked));
         self.until = asked + self.lease;
     }
 
-    /// When the last tenure began, if this host could order in it and nobody
-    /// else can have ordered since.
-    fn resumed(&self, asked: Duration, turns: Duration) -> Option<Duration> {
-        let (since, confirmed) = self.last?;
-        (self.has_settled(turns) && asked < confirmed + turns).then_some(since)
+    /// When the last term began, if this host was allowed to give orders in it and no
+    /// other host can have given any since.
+    fn resumable_since(&self, asked: Duration, handover: Duration) -> Option<Duration> {
+        let (since, confirmed) = self.last_term?;
+        (self.could_order(handover) && asked < confirmed + handover).then_some(since)
     }
 }
