--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -53,7 +53,7 @@
 /// seconds.
 const OUT_OF_REACH: Duration = Duration::from_secs(3);
 
-/// A host's capacity to lead rollouts: the smaller of its processor share, in
+/// A host's capacity for control work such as leading rollouts: the smaller of its processor share, in
 /// hundredths of a core, and its link speed, in megabits a second. Zero while the
 /// host cools down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -50,7 +50,7 @@
     /// When the first report of each crash was received.
     first_reports: LruCache<u64, Duration>,
     /// Time after the first report of a crash within which all hosts report on it.
-    settle: Duration,
+    report_window: Duration,
 }
 
 impl Default for Suspects {
@@ -60,7 +60,7 @@
             with_several_crashes: LruCache::unbounded(),
             explained: LruCache::unbounded(),
             first_reports: LruCache::unbounded(),
-            settle: SETTLE,
+            report_window: SETTLE,
         }
     }
 }
@@ -71,10 +71,10 @@
         Self::default()
     }
 
-    /// No suspects, where all hosts report on a crash within `settle` of the first
+    /// No suspects, where all hosts report on a crash within `report_window` of the first
     /// report.
-    pub fn with_settle(settle: Duration) -> Self {
-        Self { settle, ..Self::default() }
+    pub fn with_settle(report_window: Duration) -> Self {
+        Self { report_window, ..Self::default() }
     }
 
     /// Number of suspects.
@@ -217,7 +217,7 @@
     /// Whether hosts may still be reporting on a crash at `now`.
     fn is_open(&self, crash: &Crash, now: Duration) -> bool {
         let reported = self.first_reports.peek(&crash.upstream);
-        reported.is_some_and(|at| (*at..*at + self.settle).contains(&now))
+        reported.is_some_and(|at| (*at..*at + self.report_window).contains(&now))
     }
 
     /// The suspects with enough crashes on which all hosts have had the time to
--- a/crates/core/src/quota/gate.rs
+++ b/crates/core/src/quota/gate.rs
@@ -129,8 +129,11 @@
         meter.expire(limit, now);
         let (passes, wait) = match meter.verdict(now) {
             Some(verdict) => {
-                let wait = Duration::from_millis(u64::from(verdict.wait));
-                (draw < f64::from(verdict.pass) && meter.is_within_share(limit, now), wait)
+                let wait = Duration::from_millis(u64::from(verdict.retry_after_ms));
+                (
+                    draw < f64::from(verdict.admission_ratio) && meter.is_within_share(limit, now),
+                    wait,
+                )
             }
             // Admitted without a check: it triggers a first report to the coordinators.
             None if meter.is_new() => (true, LOCAL_RETRY_AFTER),
@@ -170,8 +173,8 @@
     pub fn hear(&mut self, account: u64, verdict: Verdict, now: Duration) {
         let Some(meter) = self.meters.get_mut(&verdict.workspace) else { return };
         meter.share = Some(f64::from(verdict.share));
-        meter.target_share = f64::from(verdict.part);
-        meter.burst_left = f64::from(verdict.burst);
+        meter.target_share = f64::from(verdict.target_share);
+        meter.burst_left = f64::from(verdict.burst_left);
         meter.verdicts.retain(|(from, _, at)| *from != account && now < *at + ANSWER_SPAN);
         meter.verdicts.push((account, verdict, now));
     }
@@ -192,10 +195,10 @@
             demand: meter.demand.rate(DEMAND_SPAN, now) as f32,
             usual: meter.usual.rate(USUAL_SPAN, now) as f32,
             admitted: meter.admitted,
-            spent: meter.spent(Duration::ZERO) as f32,
-            recent: meter.spent(now.saturating_sub(RECENT_SPAN)) as f32,
+            admitted_in_window: meter.admitted_since(Duration::ZERO) as f32,
+            admitted_recently: meter.admitted_since(now.saturating_sub(RECENT_SPAN)) as f32,
             share: meter.share.map(|share| share as f32),
-            young: now < window,
+            newly_started: now < window,
         };
         let all = self.meters.iter().map(usage);
         all.filter(|usage| f64::from(usage.usual) >= MIN_USUAL).collect()
@@ -205,7 +208,7 @@
     pub fn mode(&self, workspace: u64, hosts: usize, now: Duration) -> Option<Mode> {
         let meter = self.meters.get(&workspace)?;
         Some(match meter.verdict(now) {
-            Some(verdict) => Mode::Told(f64::from(verdict.pass)),
+            Some(verdict) => Mode::Told(f64::from(verdict.admission_ratio)),
             None => Mode::Alone(meter.share(hosts)),
         })
     }
@@ -226,7 +229,9 @@
     /// The answer with the lowest admission ratio among those still valid.
     fn verdict(&self, now: Duration) -> Option<&Verdict> {
         let valid = self.verdicts.iter().filter(|(_, _, at)| now < *at + ANSWER_SPAN);
-        valid.map(|(_, verdict, _)| verdict).min_by(|a, b| a.pass.total_cmp(&b.pass))
+        valid
+            .map(|(_, verdict, _)| verdict)
+            .min_by(|a, b| a.admission_ratio.total_cmp(&b.admission_ratio))
     }
 
     /// Units that all hosts may admit beyond the rate, by the last answer.
@@ -258,13 +263,13 @@
         };
         let remaining = |span: Duration| {
             let rate = limit.quota.rate * now.min(span).as_secs_f64();
-            self.share(hosts) * (rate + burst_units) - self.spent(now.saturating_sub(span))
+            self.share(hosts) * (rate + burst_units) - self.admitted_since(now.saturating_sub(span))
         };
         remaining(window).min(remaining(span))
     }
 
     /// Units admitted since `since`, within the last window.
-    fn spent(&self, since: Duration) -> f64 {
+    fn admitted_since(&self, since: Duration) -> f64 {
         let slots = self.slots.iter().filter(|slot| slot.start >= since);
         slots.map(|slot| slot.units).sum::<u64>() as f64
     }
@@ -276,7 +281,8 @@
     fn is_within_share(&self, limit: &Limit, now: Duration) -> bool {
         let allowed = limit.quota.rate * SURGE_SPAN.as_secs_f64() + self.burst_units(limit);
         let largest = self.slots.iter().map(|slot| slot.largest).max().unwrap_or_default();
-        self.spent(now.saturating_sub(SURGE_SPAN)) <= self.target_share * allowed + largest as f64
+        self.admitted_since(now.saturating_sub(SURGE_SPAN))
+            <= self.target_share * allowed + largest as f64
     }
 
     /// Removes slots from before the last window.
--- a/crates/core/src/quota/ledger.rs
+++ b/crates/core/src/quota/ledger.rs
@@ -36,15 +36,15 @@
     /// Units that the host has admitted since its process started.
     pub admitted: i64,
     /// Units that it admitted within the last window of the quota.
-    pub spent: f32,
+    pub admitted_in_window: f32,
     /// Units that it admitted within [`RECENT_SPAN`].
-    pub recent: f32,
+    pub admitted_recently: f32,
     /// The share of the quota that it uses when no coordinator answers; `None` if it
     /// has not received one.
     pub share: Option<f32>,
     /// Whether the process has run for less than a window: it may have admitted
-    /// more before its restart, which is not counted in `spent`.
-    pub young: bool,
+    /// more before its restart, which is not counted in `admitted_in_window`.
+    pub newly_started: bool,
 }
 
 /// One incarnation of a host's process.
@@ -63,15 +63,15 @@
     /// Hash of the workspace's name.
     pub workspace: u64,
     /// The admission ratio: the fraction of requests to admit, 0 to 1.
-    pub pass: f32,
+    pub admission_ratio: f32,
     /// The share of the quota that the host may use while no coordinator answers.
     pub share: f32,
     /// The share of the quota that is due to the host by its usual demand.
-    pub part: f32,
+    pub target_share: f32,
     /// The fraction of the burst that is left, 0 to 1.
-    pub burst: f32,
+    pub burst_left: f32,
     /// Retry delay of refused callers, in milliseconds.
-    pub wait: u32,
+    pub retry_after_ms: u32,
 }
 
 /// The hosts that an account counts.
@@ -134,18 +134,18 @@
 ///     demand: 400.0,
 ///     usual: 400.0,
 ///     admitted,
-///     spent: 0.0,
-///     recent: 0.0,
+///     admitted_in_window: 0.0,
+///     admitted_recently: 0.0,
 ///     share: None,
-///     young: true,
+///     newly_started: true,
 /// };
 /// ledger.report(sender, &usage(0), secs(1.0));
 /// ledger.settle(7, &limit, &hosts, secs(1.0));
 /// // The demand is four times the quota, and the bucket is still empty.
-/// assert_eq!(ledger.verdict(7, 1).unwrap().pass, 0.25);
+/// assert_eq!(ledger.verdict(7, 1).unwrap().admission_ratio, 0.25);
 /// ledger.report(sender, &usage(600), secs(1.25));
 /// ledger.settle(7, &limit, &hosts, secs(1.25));
-/// assert_eq!(ledger.verdict(7, 1).unwrap().pass, 0.0);
+/// assert_eq!(ledger.verdict(7, 1).unwrap().admission_ratio, 0.0);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
--- a/crates/core/src/quota/ledger/account.rs
+++ b/crates/core/src/quota/ledger/account.rs
@@ -13,7 +13,7 @@
 use crate::quota::{ANSWER_SPAN, Limit};
 
 /// Time in seconds over which a full bucket is spent or an overdraft is worked
-/// off.
+/// off: four report intervals.
 const CORRECTION_TIME: Duration = Duration::from_secs(1);
 
 /// Demand that is added to the usual demand of all hosts, in equal parts, as a
@@ -34,11 +34,12 @@
 const REPORT_ROUND: Duration = Duration::from_secs(2);
 
 /// How long in seconds the entry of a reachable host is kept after its last
-/// report.
+/// report: six times [`USUAL_SPAN`], when its usual demand has decayed to almost
+/// nothing.
 const ENTRY_TTL: Duration = Duration::from_secs(60);
 
-/// Bounds of the retry delay that refused callers are given, in milliseconds
-/// and seconds.
+/// Bounds of the retry delay that refused callers are given, in milliseconds and
+/// seconds. The lower one is two report intervals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(8);
 
@@ -136,7 +137,12 @@
             let before = if previous.incarnation == sender.life { previous.admitted } else { 0 };
             let admitted = (usage.admitted - before) as f64;
             match previous.was_unreachable {
-                true => self.charge_reconnected(previous, admitted, f64::from(usage.recent), now),
+                true => self.charge_reconnected(
+                    previous,
+                    admitted,
+                    f64::from(usage.admitted_recently),
+                    now,
+                ),
                 false => self.level -= admitted,
             }
         }
@@ -160,9 +166,11 @@
             reserved_burst: 0.0,
             unreachable: false,
             was_unreachable: false,
-            initial_window: previous.map_or(f64::from(usage.spent), |entry| entry.initial_window),
-            initial_recent: previous.map_or(f64::from(usage.recent), |entry| entry.initial_recent),
-            newly_started: previous.map_or(usage.young, |entry| entry.newly_started),
+            initial_window: previous
+                .map_or(f64::from(usage.admitted_in_window), |entry| entry.initial_window),
+            initial_recent: previous
+                .map_or(f64::from(usage.admitted_recently), |entry| entry.initial_recent),
+            newly_started: previous.map_or(usage.newly_started, |entry| entry.newly_started),
         };
         self.entries.insert(sender.host, entry);
     }
@@ -175,11 +183,11 @@
         entry.sent_shares = [entry.sent_shares[1], entry.share];
         Some(Verdict {
             workspace,
-            pass: self.admission_ratio as f32,
+            admission_ratio: self.admission_ratio as f32,
             share: entry.share as f32,
-            part: entry.target_share as f32,
-            burst: self.burst_left as f32,
-            wait: self.retry_after.as_millis() as u32,
+            target_share: entry.target_share as f32,
+            burst_left: self.burst_left as f32,
+            retry_after_ms: self.retry_after.as_millis() as u32,
         })
     }
 
@@ -250,7 +258,7 @@
             self.created_at = now;
         }
         if now < self.created_at + REPORT_ROUND {
-            let debt = self.initial_debt(limit, hosts);
+            let debt = self.compute_initial_debt(limit, hosts);
             self.level -= debt - self.initial_debt;
             self.initial_debt = debt;
         }
@@ -294,7 +302,7 @@
     /// Units that the hosts that have reported spent before their first reports,
     /// beyond their even shares of a window or of [`RECENT_SPAN`], whichever is
     /// exceeded by more. Negative, down to the whole credit, if they spent less.
-    fn initial_debt(&self, limit: &Limit, hosts: &Hosts) -> f64 {
+    fn compute_initial_debt(&self, limit: &Limit, hosts: &Hosts) -> f64 {
         let burst = limit.quota.burst + limit.credit();
         let allowed = |span: Duration| {
             (limit.quota.rate * span.as_secs_f64() + burst) / hosts.count().max(1) as f64
