--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -23,16 +23,16 @@
 /// Number of preferred candidates.
 pub const CANDIDATES: usize = 16;
 
-/// Number of candidates with which a preferred host does not join at all while
-/// engines are due to change. With fewer, it joins once it has been up for this
-/// time in seconds.
+/// With at least this number of other candidates, a preferred host does not join
+/// while engines are due to change. With fewer, it joins once it has been up for
+/// this time in seconds.
 const MIN_CANDIDATES: usize = 3;
-const JOIN_DELAY: Duration = Duration::from_secs(30);
+const MIN_UPTIME: Duration = Duration::from_secs(30);
 
 /// How long there must have been no candidate before hosts that are not preferred
 /// join: this time in seconds plus two rounds of heartbeats.
-const VACANT: Duration = Duration::from_secs(1);
-const VACANT_ROUNDS: u32 = 2;
+const NO_CANDIDATE_FOR: Duration = Duration::from_secs(1);
+const NO_CANDIDATE_ROUNDS: u32 = 2;
 
 /// How long a host that is not preferred must have seen no store errors before it
 /// joins, in seconds: while the store is down, no host can be a candidate.
@@ -53,9 +53,9 @@
 /// seconds.
 const OUT_OF_REACH: Duration = Duration::from_secs(3);
 
-/// A host's capacity for control work such as leading rollouts: the smaller of its processor share, in
-/// hundredths of a core, and its link speed, in megabits a second. Zero while the
-/// host cools down.
+/// A host's capacity for control work such as leading rollouts: the smaller of its
+/// processor share, in hundredths of a core, and its link speed, in megabits a
+/// second. Zero while the host cools down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Room(pub u32);
 
@@ -147,11 +147,11 @@
         let is_vacant = self.standing() == 0;
         match self.is_preferred() {
             true => {
-                let too_few = self.standing() < MIN_CANDIDATES && self.up >= JOIN_DELAY;
+                let too_few = self.standing() < MIN_CANDIDATES && self.up >= MIN_UPTIME;
                 is_vacant || !self.pending || too_few
             }
             false => {
-                let vacant = self.vacant >= VACANT + self.round * VACANT_ROUNDS;
+                let vacant = self.vacant >= NO_CANDIDATE_FOR + self.round * NO_CANDIDATE_ROUNDS;
                 is_vacant && vacant && self.errors.is_none_or(|age| age >= ERROR_FREE)
             }
         }
@@ -207,7 +207,7 @@
 
 /// Whether the leader is to hand over at once: it has failed to reach an engine that
 /// others reach for too long, no engine is changing its weights (`changing`), and
-/// there is another candidate (`stands`).
+/// there is another candidate (`has_candidate`).
 ///
 /// ```
 /// use std::time::Duration;
@@ -220,8 +220,8 @@
 pub fn hands_over(
     unreached: impl IntoIterator<Item = Unreached>,
     changing: usize,
-    stands: bool,
+    has_candidate: bool,
 ) -> bool {
     let is_out_of_reach = |engine: Unreached| engine.used && engine.tried >= OUT_OF_REACH;
-    stands && changing == 0 && unreached.into_iter().any(is_out_of_reach)
+    has_candidate && changing == 0 && unreached.into_iter().any(is_out_of_reach)
 }
--- a/crates/core/src/poison/suspect.rs
+++ b/crates/core/src/poison/suspect.rs
@@ -65,8 +65,8 @@
     pub evaluated: bool,
     /// When it last completed, since the Unix epoch.
     last_completed: Option<Duration>,
-    /// Number of its crashes that are the very ones of another request already
-    /// detected.
+    /// Number of its crashes, if these are exactly the ones that another request,
+    /// already detected, explains; zero otherwise.
     tied: usize,
 }
 
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -111,6 +111,7 @@
         self.put(request, suspect);
     }
 
+    /// Stores a suspect in the list for its number of crashes.
     fn put(&mut self, request: Fingerprint, suspect: Suspect) {
         let (list, limit) = match suspect.crashes.len() {
             0 => return,
@@ -132,8 +133,9 @@
             .is_some()
     }
 
-    /// Records that the crashes of `upstreams` are explained: from now on they count
-    /// against no other request.
+    /// Records that the crashes of `upstreams` are explained by a detected request:
+    /// from now on they count against no other one, except as `Suspect::explain`
+    /// says.
     pub fn explain(&mut self, upstreams: &[u64]) {
         let new: Vec<u64> =
             upstreams.iter().copied().filter(|u| !self.explained.contains(u)).collect();
@@ -221,9 +223,8 @@
     }
 
     /// The suspects with enough crashes on which all hosts have had the time to
-    /// report, with these crashes only. Any later crash counts so far only against
-    /// the requests that were reported first, and perhaps not yet against its
-    /// cause.
+    /// report, with these crashes only. A crash on which reports are still arriving
+    /// may count against the requests reported first and not yet against its cause.
     fn candidates(&self, now: Duration) -> Vec<(Fingerprint, Suspect)> {
         let complete = self.with_several_crashes.iter().filter(|(_, s)| s.has_enough);
         let settled = complete.map(|(request, suspect)| {
@@ -238,6 +239,9 @@
     /// the time to report, and returns each with the upstreams that it crashed. Of
     /// several in flight at the same crashes none is detected: the next crash
     /// decides.
+    ///
+    /// Candidates are taken from the strongest on. Crashes that one of them accounts
+    /// for do not count for the weaker ones.
     pub fn detect(&mut self, now: Duration) -> Vec<(Fingerprint, Vec<u64>)> {
         let mut candidates = self.candidates(now);
         candidates.sort_unstable_by_key(|(request, s)| Reverse((s.strength(), *request)));
--- a/crates/core/src/tenure.rs
+++ b/crates/core/src/tenure.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Time before the end of the lease from which no orders are given, in
-/// milliseconds. It covers the few milliseconds that an order takes to arrive.
+/// Time at the end of the lease during which no orders are given, in milliseconds.
+/// It covers the few milliseconds that an order takes to arrive.
 pub const MARGIN: Duration = Duration::from_millis(400);
 
 /// The effect of an answer of the store on this host's leadership.
@@ -117,8 +117,8 @@
     until: Duration,
     /// While this host is the leader: its token, and when its term began.
     term: Option<(Token, Duration)>,
-    /// When the last term began, and when the last request was sent that the store
-    /// answered by confirming it.
+    /// The last term: when it began, and when this host sent the last request that
+    /// the store answered by confirming it.
     last_term: Option<(Duration, Duration)>,
     /// The newest era seen, and until when leases of earlier eras may last. That is
     /// counted from when this host first saw the era: a host that has just started
