--- a/crates/router/src/duty.rs
+++ b/crates/router/src/duty.rs
@@ -1,17 +1,17 @@
-//! Duties of which one router at a time is the keeper, by the fleet's lease.
+//! Tasks that one router at a time performs, the holder of the fleet's lease.
 //!
 //! - Snapshots: the configuration in force is written to the log service
 //!   when it has changed, and again before the last one could expire, so
 //!   that a router can start after the records themselves have expired.
-//! - Weights: engines serving older weights than the operator named are
-//!   ordered to load them, a few at a time, each order with the lease's
-//!   fencing token.
+//! - Weights: engines serving an older weights version than the operator announced
+//!   are ordered to load it, a few at a time, each order with the lease's fencing
+//!   token.
 //!
-//! Every single act is preceded by a look at the lease. A keeper that was
-//! paused between look and act is stopped by the fencing token at engines
-//! that check it; at the others a late order can only name weights that were
-//! in force before, and the present keeper sees the engine fall back and
-//! orders it again. Snapshots need no fencing: readers take the newest.
+//! The lease is checked before every single action. If a lease holder was paused
+//! between the check and the action, engines that check the fencing token reject
+//! the late order. At other engines a late order can only name weights that were
+//! in force before; the current lease holder then detects that the engine went
+//! back and orders it again. Snapshots need no fencing: readers take the newest.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,51 +25,55 @@
 
 use crate::clock;
 use crate::error::Error;
-use crate::log::{self, Conditional, Log};
+use crate::log::{self, ConditionalAppend, Log};
 use crate::node::{Engine, Node};
 
-/// Pause between looks at the lease, as a share of its time to live, while
-/// the fleet has at most [`SMALL_FLEET`] routers.
-const LOOKS: u32 = 3;
-/// In a larger fleet routers that are not the keeper look the more rarely,
-/// so that the log service is not read more often by more routers.
+/// Number of lease checks per time to live of the lease, while the fleet has at
+/// most [`SMALL_FLEET`] routers.
+const CHECKS_PER_TTL: u32 = 3;
+/// Number of routers above which routers other than the lease holder check less
+/// often, in proportion, so that more routers do not read the log service more often.
 const SMALL_FLEET: u32 = 9;
-/// Longest pause between looks.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Pause between rounds of duties.
-const ROUND: Duration = Duration::from_millis(500);
-/// Least time between two snapshots.
-const SNAPSHOT_GAP: Duration = Duration::from_secs(5);
-/// A snapshot is renewed after this share of the log's retention.
-const RENEWALS: u32 = 3;
-/// The share of engines ordered to load weights at a time.
-const LOADING_SHARE: usize = 4;
-/// Longest wait for an engine to take an order.
-const ORDER_LIMIT: Duration = Duration::from_secs(5);
+/// Longest interval between checks of the lease, in seconds.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval, in milliseconds, between rounds of the lease holder's tasks.
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
+/// Least time between two snapshots, in seconds.
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(5);
+/// Divisor of the log's retention time that gives the age at which a snapshot is
+/// written again.
+const RENEWALS_PER_RETENTION: u32 = 3;
+/// Divisor of the number of engines that gives how many are ordered to load weights
+/// at a time.
+const LOADING_DIVISOR: usize = 4;
+/// Time-out, in seconds, of an order to an engine.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Contends for the lease for ever.
+/// Tries to acquire or renew the lease, forever.
 pub async fn contend(node: Arc<Node>) {
     let log = Log::new(node.settings.log_service);
     loop {
-        if let Err(error) = look(&node, &log).await {
+        if let Err(error) = check_lease(&node, &log).await {
             tracing::debug!(target: "duty", "duty: lease: {error}.");
         }
-        ntex::time::sleep(pause(&node)).await;
+        ntex::time::sleep(check_interval(&node)).await;
     }
 }
 
-/// How long to wait before the next look at the lease.
-fn pause(node: &Node) -> Duration {
-    let shortest = node.settings.lease_ttl / LOOKS;
+/// Time until the next check of the lease.
+fn check_interval(node: &Node) -> Duration {
+    let shortest = node.settings.lease_ttl / CHECKS_PER_TTL;
     let routers = node.pool.load().routers.len() as u32;
     match node.token() {
         Some(_) => shortest,
-        None => (shortest * routers / SMALL_FLEET).clamp(shortest, LONGEST_PAUSE.max(shortest)),
+        None => {
+            (shortest * routers / SMALL_FLEET).clamp(shortest, MAX_CHECK_INTERVAL.max(shortest))
+        }
     }
 }
 
-/// Reads the lease and takes or renews it if it is time to.
-async fn look(node: &Node, log: &Log) -> Result<(), Error> {
+/// Reads the lease and acquires or renews it if that is due.
+async fn check_lease(node: &Node, log: &Log) -> Result<(), Error> {
     let (next, last) = log.tail(log::LEASE).await?;
     let last = last.and_then(|record| serde_json::from_str::<Grant>(&record.body).ok());
     let attempt = {
@@ -77,20 +81,20 @@
         contender.observe(Tail { next, last }, clock::now());
         contender.attempt(clock::now())
     };
-    let Some(attempt) = attempt.filter(|_| node.fit()) else {
+    let Some(attempt) = attempt.filter(|_| node.is_available()) else {
         return Ok(());
     };
     let sent = clock::now();
-    if log.append_at(log::LEASE, attempt.at, &attempt.grant).await? == Conditional::Done {
+    if log.append_at(log::LEASE, attempt.at, &attempt.grant).await? == ConditionalAppend::Done {
         node.contender.lock().unwrap().granted(&attempt, sent);
         if attempt.grant.token.is_none() {
-            tracing::info!(target: "duty", "duty: this router is the keeper, fencing token {}.", attempt.at);
+            tracing::info!(target: "duty", "duty: this router holds the lease, fencing token {}.", attempt.at);
         }
     }
     Ok(())
 }
 
-/// Gives the lease up, if this router holds it.
+/// Releases the lease, if this router holds it.
 pub async fn release(node: &Node) {
     let attempt = {
         let mut contender = node.contender.lock().unwrap();
@@ -101,55 +105,59 @@
     if let Some(attempt) = attempt {
         let log = Log::new(node.settings.log_service);
         if let Err(error) = log.append_at(log::LEASE, attempt.at, &attempt.grant).await {
-            tracing::info!(target: "duty", "duty: lease not given up: {error}.");
+            tracing::info!(target: "duty", "duty: lease not released: {error}.");
         }
     }
 }
 
-/// Does the keeper's duties whenever this router is the keeper, for ever.
-pub async fn keep(node: Arc<Node>) {
-    let client = Client::build().timeout(ORDER_LIMIT).finish();
+/// Runs the lease holder's tasks whenever this router holds the lease, forever.
+pub async fn run_holder_tasks(node: Arc<Node>) {
+    let client = Client::build().timeout(ORDER_TIMEOUT).finish();
     let log = Log::new(node.settings.log_service);
-    let mut written = Written::default();
+    let mut last_snapshot = LastSnapshot::default();
     loop {
-        ntex::time::sleep(ROUND).await;
+        ntex::time::sleep(ROUND_INTERVAL).await;
         if node.token().is_none() {
-            written = Written::default();
+            last_snapshot = LastSnapshot::default();
             continue;
         }
-        if let Err(error) = snapshot(&node, &log, &mut written).await {
+        if let Err(error) = snapshot(&node, &log, &mut last_snapshot).await {
             tracing::info!(target: "duty", "duty: snapshot not written: {error}.");
         }
         order_weights(&node, &client).await;
     }
 }
 
-/// The last snapshot this keeper wrote.
+/// The last snapshot this lease holder wrote.
 #[derive(Debug, Default)]
-struct Written {
+struct LastSnapshot {
     offset: Option<Offset>,
     at: Option<Instant>,
 }
 
-/// Writes a snapshot if the configuration moved on or the last one is old.
-async fn snapshot(node: &Node, log: &Log, written: &mut Written) -> Result<(), Error> {
+/// Writes a snapshot if the configuration has changed or the last snapshot is due for
+/// renewal.
+async fn snapshot(node: &Node, log: &Log, last_snapshot: &mut LastSnapshot) -> Result<(), Error> {
     let active = node.active.load_full();
-    let age = written.at.map(|at| at.elapsed());
+    let age = last_snapshot.at.map(|at| at.elapsed());
     let due = match age {
         None => true,
-        Some(age) if age < SNAPSHOT_GAP => false,
-        Some(age) => active.offset > written.offset || age > node.settings.log_retention / RENEWALS,
+        Some(age) if age < MIN_SNAPSHOT_INTERVAL => false,
+        Some(age) => {
+            active.offset > last_snapshot.offset
+                || age > node.settings.log_retention / RENEWALS_PER_RETENTION
+        }
     };
     if !due || active.offset.is_none() || node.token().is_none() {
         return Ok(());
     }
     let offset = log.append(log::SNAPSHOTS, &*active.config).await?;
-    *written = Written { offset: active.offset, at: Some(Instant::now()) };
+    *last_snapshot = LastSnapshot { offset: active.offset, at: Some(Instant::now()) };
     tracing::debug!(target: "duty", "duty: snapshot {offset} written.");
     Ok(())
 }
 
-/// The newest snapshot in the log service, if one is kept.
+/// The newest snapshot in the log service, if it still has one.
 pub async fn newest_snapshot(log: &Log) -> Result<Option<Config>, Error> {
     let (_, last) = log.tail(log::SNAPSHOTS).await?;
     match last {
@@ -160,18 +168,18 @@
     }
 }
 
-/// Orders the engines that are behind to load the weights named, a share of
-/// the pool at a time.
+/// Orders engines with an older weights version to load the announced one, a fraction
+/// of the pool at a time.
 async fn order_weights(node: &Node, client: &Client) {
     let Some(version) = node.active.load().config.weights else {
         return;
     };
     let pool = node.pool.load_full();
     let behind = |e: &&Engine| {
-        let life = node.picture.life(e.slot);
+        let life = node.cache_index.life(e.slot);
         !e.leaving && life.is_some_and(|life| life.version < version)
     };
-    let at_a_time = pool.engines.len().div_ceil(LOADING_SHARE);
+    let at_a_time = pool.engines.len().div_ceil(LOADING_DIVISOR);
     let orders = pool.engines.iter().filter(behind).take(at_a_time);
     join_all(orders.map(|engine| order(node, client, engine, version))).await;
 }
@@ -182,7 +190,7 @@
     };
     match send_order(client, &engine.addr, version, token).await {
         Ok(()) => {
-            tracing::info!(target: "duty", "duty: engine {} ordered to weights {version}.", engine.addr);
+            tracing::info!(target: "duty", "duty: ordered engine {} to load weights version {version}.", engine.addr);
         }
         Err(error) => tracing::warn!(target: "duty", "duty: {error}."),
     }
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the router, each naming the step and the peer.
+//! Errors of the router. Each names the step and the peer.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
     /// A failure while serving one request or running the node.
     #[derive(Debug)]
     pub enum Error {
-        /// The command line cannot be read.
+        /// The command line is invalid.
         Usage(message: String) {
             display("{message}; see --help")
         }
-        /// A setting is missing or wrong.
+        /// A setting is missing or invalid.
         Setting(name: &'static str, message: String) {
             display("setting --{name}: {message}")
         }
-        /// The settings file cannot be used.
+        /// The settings file cannot be read or is invalid.
         Settings(path: String, why: String) {
             display("{path}: {why}")
         }
@@ -40,15 +40,15 @@
         UnknownWorkspace(peer: String, workspace: String) {
             display("route request from {peer}: workspace {workspace:?} is not configured")
         }
-        /// No engine can take the request.
+        /// No live engine can serve the request.
         NoEngine(workspace: String) {
             display("route request of {workspace}: no live engine")
         }
-        /// Engines crashed under the request; none is sent it.
+        /// The request is quarantined because engines crashed while running it.
         Quarantined(request: String, left: Duration) {
             display("route request {request}: engines crashed under it, so it is sent to none for {left:?}")
         }
-        /// Every engine's queue is longer than the caller waits.
+        /// The first token is expected later than the caller's or the router's limit.
         Late(workspace: String, wait: Duration, limit: Duration) {
             display("route request of {workspace}: the first token is expected in {wait:?}, later than the {limit:?} it may take")
         }
@@ -80,15 +80,15 @@
         Claim(step: &'static str, peer: String, message: String) {
             display("{step} at log service {peer}: {message}; the call was not sent")
         }
-        /// Another claim holds the key and its outcome is not known.
+        /// Another attempt has claimed the key and its outcome is not known.
         Held(key: String) {
             display("call with idempotency key {key:?} is held by another attempt whose outcome is not known; it may have run")
         }
-        /// The router is draining and takes no new work.
+        /// The router is draining and accepts no new work.
         Draining {
             display("route request: this router is shutting down")
         }
-        /// An engine did not take the request; it has not run there.
+        /// An engine refused the request, which has not run there.
         Refused(peer: String, message: String) {
             display("send to engine {peer}: refused: {message}")
         }
@@ -104,9 +104,9 @@
     }
 }
 
-/// Whether a request failed before any of it was sent. The client reports a
-/// connection that ends without an answer as one that could not be opened, but
-/// with no error of the system: the peer may have run the request.
+/// Whether a request failed before any of it was sent. The HTTP client also reports a
+/// connection that was closed without an answer as a connect error, but one without an
+/// error of the operating system; in that case the peer may have run the request.
 pub fn is_unsent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected(None)) => false,
@@ -116,7 +116,7 @@
 }
 
 impl Error {
-    /// The HTTP status this error is answered with.
+    /// The HTTP status of the response for this error.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Parse(..) => StatusCode::BAD_REQUEST,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// When the caller may come back, where coming back may help: a late
-    /// queue by when it should have drained, anything else after a second.
+    /// Time after which the caller may retry, if a retry may help: when the queue should
+    /// be short enough again, when the quarantine ends, or else one second.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Late(_, wait, limit) => Some(wait.saturating_sub(*limit)),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The wire form of this error.
+    /// The JSON body of the response for this error.
     pub fn body(&self) -> ErrorBody {
         let (step, peer) = match self {
             Self::Usage(_) => ("settings", "command line".to_string()),
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,5 +1,5 @@
-//! Background loops that keep a node's picture of the world current: its
-//! configuration, the hosts, and what each engine holds and does.
+//! Background loops that keep a node's state up to date: its configuration, the
+//! host list, and the cache contents and load of each engine.
 
 mod config;
 mod engines;
@@ -15,7 +15,7 @@
 pub use engines::engines;
 pub use hosts::hosts;
 
-/// Largest answer read.
+/// Largest answer accepted, in bytes.
 const BODY_LIMIT: usize = 64 << 20;
 
 /// The JSON body at `url`.
--- a/crates/router/src/follow/config.rs
+++ b/crates/router/src/follow/config.rs
@@ -1,6 +1,6 @@
-//! Reads the log service's `config` stream forward from the last offset
-//! applied and puts each new configuration in force; where the records have
-//! expired, from the newest snapshot (see `duty`).
+//! Reads the log service's `config` stream from the last offset applied and puts
+//! each new configuration in force. If the records that follow have expired, it
+//! starts from the newest snapshot (see `duty`).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,24 +14,24 @@
 use crate::log::{self, Log};
 use crate::node::{Active, Node};
 
-/// Pause between reads of the stream.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between reads of the stream, in seconds.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the `config` stream for ever.
+/// Follows the `config` stream forever.
 pub async fn config(node: Arc<Node>) {
     let log = Log::new(node.settings.log_service);
     let mut config = Config::new();
     loop {
-        let offered = node.offered.lock().unwrap().take();
-        if offered.is_some_and(|snapshot| config.restore(snapshot)) {
+        let offered_config = node.offered_config.lock().unwrap().take();
+        if offered_config.is_some_and(|snapshot| config.restore(snapshot)) {
             put_in_force(&node, &config);
         }
-        match read_on(&log, &mut config).await {
-            Ok(Progress::Moved) => put_in_force(&node, &config),
+        match read_new_records(&log, &mut config).await {
+            Ok(Progress::Advanced) => put_in_force(&node, &config),
             Ok(Progress::AtEnd) => node.configured.store(true, Ordering::Release),
             Err(error) => tracing::debug!(target: "follow", "config: {error}."),
         }
-        ntex::time::sleep(EVERY).await;
+        ntex::time::sleep(READ_INTERVAL).await;
     }
 }
 
@@ -40,17 +40,17 @@
     node.configured.store(true, Ordering::Release);
 }
 
-/// What one reading of the `config` stream led to.
+/// Result of one read of the `config` stream.
 enum Progress {
-    /// The offset in force moved on.
-    Moved,
-    /// Nothing new.
+    /// New records were applied.
+    Advanced,
+    /// There was no new record.
     AtEnd,
 }
 
-/// Reads and applies what follows the offset in force; from a snapshot when
-/// the records that follow it have expired.
-async fn read_on(log: &Log, config: &mut Config) -> Result<Progress, Error> {
+/// Reads and applies the records after the offset in force; restores the newest
+/// snapshot first if those records have expired.
+async fn read_new_records(log: &Log, config: &mut Config) -> Result<Progress, Error> {
     let before = config.offset;
     let mut read = log.read(log::CONFIG, config.expected()).await?;
     if read.oldest > config.expected() {
@@ -70,11 +70,11 @@
     apply_all(config, &read);
     match config.offset == before {
         true => Ok(Progress::AtEnd),
-        false => Ok(Progress::Moved),
+        false => Ok(Progress::Advanced),
     }
 }
 
-/// Applies `read` in order, up to a gap if there is one.
+/// Applies the records of `read` in order, up to a gap if there is one.
 fn apply_all(config: &mut Config, read: &LogRead) {
     for record in &read.records {
         let outcome = match serde_json::from_str::<Record>(&record.body) {
@@ -84,7 +84,7 @@
         match outcome {
             Applied::Accepted | Applied::Stale => {}
             Applied::Gap { expected } => {
-                tracing::warn!(target: "follow", "config: record {} is beyond a gap; reading again from {expected}.", record.offset);
+                tracing::warn!(target: "follow", "config: record {} follows a gap; reading again from {expected}.", record.offset);
                 return;
             }
             Applied::Rejected(why) => {
--- a/crates/router/src/follow/engines.rs
+++ b/crates/router/src/follow/engines.rs
@@ -1,6 +1,6 @@
-//! Reads each engine's cache events and load report, each engine by tasks of
-//! its own. An engine that cannot be reached is marked down and loses its
-//! entries.
+//! Reads each engine's cache events and load report, with separate tasks for each
+//! engine. An engine that cannot be reached is marked down and its entries in the
+//! cache index are dropped.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use super::get_json;
 use crate::node::{Engine, Node};
 
-/// Pause between looks for engines not yet followed.
-const POOL_EVERY: Duration = Duration::from_millis(100);
-/// How long a read of an engine's events waits there for some.
+/// Interval, in milliseconds, between checks of the pool for engines not yet followed.
+const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Seconds that an engine is asked to wait for events before it answers a read.
 const EVENTS_WAIT: Duration = Duration::from_secs(1);
-/// Pause between reads of an engine's events.
-const EVENTS_EVERY: Duration = Duration::from_millis(50);
-/// Pause between reads of an engine's load report.
-const LOAD_EVERY: Duration = Duration::from_millis(500);
-/// Longest wait for an engine's answer, the wait it was asked for aside.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Pause between reads of an engine's events, in milliseconds.
+const EVENTS_READ_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between reads of an engine's load report, in milliseconds.
+const LOAD_READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Time-out of an engine's answer, in seconds, on top of the wait it was asked for.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Follows every engine's cache events and load for ever, each by a task of
-/// its own: an engine that does not answer holds up no other's events.
+/// Follows every engine's cache events and load forever, with a separate task for
+/// each, so that an engine that does not answer does not delay the events of others.
 pub async fn engines(node: Arc<Node>) {
     let mut followed: HashSet<String> = HashSet::new();
     loop {
@@ -37,7 +37,7 @@
                 ntex::rt::spawn(follow_engine(node.clone(), engine.clone()));
             }
         }
-        ntex::time::sleep(POOL_EVERY).await;
+        ntex::time::sleep(POOL_CHECK_INTERVAL).await;
     }
 }
 
@@ -47,13 +47,13 @@
     futures::join!(follow_events(&node, &engine, &client), follow_load(&node, &engine, &client));
 }
 
-/// Whether the pool still holds `engine` in its slot.
+/// Whether the pool still contains `engine`, in the same slot.
 fn listed(node: &Node, engine: &Engine) -> bool {
     node.pool.load().engines.iter().any(|e| e.addr == engine.addr && e.slot == engine.slot)
 }
 
-/// Reads an engine's events as they come: each read waits at the engine
-/// until there are some.
+/// Reads an engine's events by long polling: each read waits at the engine until
+/// there are events.
 async fn follow_events(node: &Node, engine: &Engine, client: &Client) {
     while listed(node, engine) {
         let cursor = node.cursors.lock().unwrap().get(&engine.slot).copied();
@@ -63,60 +63,60 @@
             None => 0,
         };
         let url = format!("http://{}/v1/events?from={from}&wait_ms={wait}", engine.addr);
-        let read = get_json::<CacheEvents>(client, &url, EVENTS_WAIT + LIMIT).await;
+        let read = get_json::<CacheEvents>(client, &url, EVENTS_WAIT + ANSWER_TIMEOUT).await;
         if !listed(node, engine) {
             return;
         }
         match read {
             Ok(events) => {
-                reached(node, engine);
+                mark_reachable(node, engine);
                 apply_events(node, engine, &events);
             }
-            Err(error) => lost(node, engine, &error),
+            Err(error) => mark_unreachable(node, engine, &error),
         }
-        ntex::time::sleep(EVENTS_EVERY).await;
+        ntex::time::sleep(EVENTS_READ_PAUSE).await;
     }
 }
 
-/// Reads an engine's load report now and again.
+/// Reads an engine's load report at regular intervals.
 async fn follow_load(node: &Node, engine: &Engine, client: &Client) {
     let url = format!("http://{}/v1/load", engine.addr);
     while listed(node, engine) {
-        let read = get_json::<LoadReport>(client, &url, LIMIT).await;
+        let read = get_json::<LoadReport>(client, &url, ANSWER_TIMEOUT).await;
         if !listed(node, engine) {
             return;
         }
         match read {
             Ok(load) => {
-                reached(node, engine);
-                node.report(engine.slot, load.running + load.waiting);
+                mark_reachable(node, engine);
+                node.record_load_report(engine.slot, load.running + load.waiting);
             }
-            Err(error) => lost(node, engine, &error),
+            Err(error) => mark_unreachable(node, engine, &error),
         }
-        ntex::time::sleep(LOAD_EVERY).await;
+        ntex::time::sleep(LOAD_READ_INTERVAL).await;
     }
 }
 
 /// Marks an engine reachable.
-fn reached(node: &Node, engine: &Engine) {
+fn mark_reachable(node: &Node, engine: &Engine) {
     if node.down[usize::from(engine.slot.0)].swap(false, Ordering::AcqRel) {
         tracing::info!(target: "follow", "engines: {} reachable again.", engine.addr);
     }
 }
 
-/// Marks an engine unreachable and forgets what it was known to hold.
-fn lost(node: &Node, engine: &Engine, error: &str) {
+/// Marks an engine unreachable and drops its entries in the cache index.
+fn mark_unreachable(node: &Node, engine: &Engine, error: &str) {
     if !node.down[usize::from(engine.slot.0)].swap(true, Ordering::AcqRel) {
-        tracing::warn!(target: "follow", "engines: {} unreachable, entries dropped: {error}.", engine.addr);
+        tracing::warn!(target: "follow", "engines: {} unreachable, cache entries dropped: {error}.", engine.addr);
     }
     node.cursors.lock().unwrap().remove(&engine.slot);
-    node.picture.clear(engine.slot);
+    node.cache_index.clear(engine.slot);
 }
 
 fn apply_events(node: &Node, engine: &Engine, read: &CacheEvents) {
     let mut cursors = node.cursors.lock().unwrap();
     let known = cursors.get(&engine.slot).copied();
-    let (cursor, taken) = feed::apply(&node.picture, engine.slot, known, read);
+    let (cursor, taken) = feed::apply(&node.cache_index, engine.slot, known, read);
     cursors.insert(engine.slot, cursor);
     node.counters.events.fetch_add(taken.events, Ordering::Relaxed);
     node.counters.gaps.fetch_add(taken.gaps, Ordering::Relaxed);
--- a/crates/router/src/follow/hosts.rs
+++ b/crates/router/src/follow/hosts.rs
@@ -1,5 +1,5 @@
-//! Reads the host list and swaps in the pool of engines, routers and
-//! services; an engine gone from the list loses its entries.
+//! Reads the host list and replaces the pool of engines, routers and services. When
+//! an engine is no longer in the list, its entries in the cache index are dropped.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use super::read_json;
 use crate::node::{Engine, Node, Pool};
 
-/// Pause between reads of the list.
-const EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for an answer.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Interval between reads of the list, in seconds.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Time-out of an answer, in seconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Follows the host list for ever.
+/// Follows the host list forever.
 pub async fn hosts(node: Arc<Node>) {
     let client = Client::new();
     let mut slots: HashMap<String, Slot> = HashMap::new();
@@ -26,7 +26,7 @@
     loop {
         let known = version.map(|v: u64| format!("?version={v}")).unwrap_or_default();
         let url = format!("http://{}/v1/hosts{known}", node.settings.host_list);
-        match read_json::<HostList>(&client, &url, LIMIT).await {
+        match read_json::<HostList>(&client, &url, ANSWER_TIMEOUT).await {
             Ok(None) => {}
             Ok(Some(list)) => {
                 version = Some(list.version);
@@ -37,7 +37,7 @@
                 tracing::debug!(target: "follow", "hosts: read from {} failed: {error}.", node.settings.host_list)
             }
         }
-        ntex::time::sleep(EVERY).await;
+        ntex::time::sleep(READ_INTERVAL).await;
     }
 }
 
@@ -46,8 +46,8 @@
     slots.retain(|addr, slot| {
         let kept = listed.iter().any(|h| &h.addr == addr);
         if !kept {
-            tracing::info!(target: "follow", "hosts: engine {addr} left the list.");
-            node.picture.clear(*slot);
+            tracing::info!(target: "follow", "hosts: engine {addr} was removed from the host list.");
+            node.cache_index.clear(*slot);
             node.cursors.lock().unwrap().remove(slot);
         }
         kept
@@ -60,7 +60,7 @@
                 let Some(free) =
                     (0..MAX_SLOTS as u8).map(Slot).find(|s| !slots.values().any(|t| t == s))
                 else {
-                    tracing::warn!(target: "follow", "hosts: no slot left for engine {}.", host.addr);
+                    tracing::warn!(target: "follow", "hosts: no free slot for engine {}; it gets no requests.", host.addr);
                     continue;
                 };
                 slots.insert(host.addr.clone(), free);
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -1,18 +1,18 @@
-//! The request path: choose an engine, send it the request, and pass its
-//! answer on whole and in order.
+//! The request path: choose an engine, send it the request, and forward its
+//! answer to the caller, complete and in order.
 //!
 //! An engine's chunks are checked against the request id and sequence
 //! numbers. When an engine cannot be reached, does not answer, breaks its
-//! stream off, goes silent, or sends a chunk of another request, the request
-//! goes on at another engine from the first chunk not yet passed on (engines
-//! resume streams from a sequence number, under the same weights), so the
-//! caller still gets every chunk once and in order. Only when no engine is
-//! left does the caller's answer end, with an error naming the step and the
-//! engine: never a silent cut.
+//! stream, sends nothing for too long, or sends a chunk of another request, the
+//! request is resumed on another engine from the first chunk not yet forwarded
+//! (engines resume streams from a sequence number, under the same weights), so the
+//! caller still gets every chunk once and in order. Only when no engine is left
+//! does the answer end early, with an error naming the step and the engine; it is
+//! never truncated without an error.
 //!
-//! A connection may go silent for good while new ones work. Silence is
-//! noticed after `--stream-idle-ms` inside a stream, and sooner where the
-//! engine's follower finds it unreachable (see `follow`).
+//! An open connection may stop delivering data for good while new connections
+//! work. This is detected after `--stream-idle-ms` inside a stream, and sooner if
+//! the engine's follower finds the engine unreachable (see `follow`).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -30,17 +30,20 @@
 use crate::job::{Choice, Job, version};
 use crate::node::{Engine, Node};
 use crate::poison;
-use crate::quarantine::Broken;
+use crate::quarantine::BrokenCompletion;
 
-/// Longest wait for an engine's first chunk: its queue may be long.
-const FIRST_CHUNK: Duration = Duration::from_secs(60);
-/// How often a wait looks whether the engine is still reachable.
-const WATCH: Duration = Duration::from_millis(100);
-/// Time between two looks whether crashes have been judged.
-const JUDGED_INTERVAL: Duration = Duration::from_millis(40);
+/// Time-out, in seconds, of an engine's first chunk. It is long because the engine's
+/// queue may be long.
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval, in milliseconds, at which a waiting request checks that its engine is
+/// still reachable.
+const REACHABILITY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval, in milliseconds, at which a withheld request checks whether the crashes
+/// it was in flight at have been evaluated.
+const VERDICT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 thread_local! {
-    static CLIENT: Client = Client::build().timeout(FIRST_CHUNK).finish();
+    static CLIENT: Client = Client::build().timeout(FIRST_CHUNK_TIMEOUT).finish();
 }
 
 /// Counts a request in flight at one engine until dropped, and its prompt
@@ -58,7 +61,7 @@
         Self { node, slot, unread: unread.0 }
     }
 
-    /// The prompt has been read.
+    /// Records that the engine has read the prompt.
     fn read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         self.node.pending[usize::from(self.slot.0)].fetch_sub(unread, Ordering::Relaxed);
@@ -72,56 +75,57 @@
     }
 }
 
-/// An engine that has accepted a request, with its answer to read.
-pub struct Opened {
+/// A request that an engine has accepted, with its answer to read.
+pub struct AcceptedRequest {
     /// The engine.
     pub engine: Engine,
     response: ClientResponse,
-    /// The weights it computes the answer under.
+    /// Version of the weights that compute the answer.
     version: ModelVersion,
     inflight: Inflight,
-    /// Its life when it was sent the request.
+    /// The engine's incarnation and weights when the request was sent.
     life: Option<Life>,
-    /// Prompt tokens to be read before its first chunk, and since when.
-    ahead: Tokens,
+    /// Prompt tokens the engine has to read before the first chunk, and when the
+    /// request was sent.
+    tokens_ahead: Tokens,
     sent: Instant,
-    /// When it accepted the request.
+    /// When the engine accepted the request.
     begun: Instant,
 }
 
-/// Where the checked chunks of an answer go.
-pub trait Out {
-    /// Passes one chunk on; false when the caller has gone.
+/// Receives the checked chunks of an answer for the caller.
+pub trait ChunkSink {
+    /// Forwards one chunk; false if the caller has disconnected.
     async fn chunk(&mut self, chunk: &Chunk) -> bool;
 
-    /// Whether the caller is known to have gone.
-    fn gone(&self) -> bool;
+    /// Whether the caller is known to have disconnected.
+    fn is_closed(&self) -> bool;
 }
 
 /// Sends `job` to engines in turn until one accepts it.
-pub async fn open(node: &Arc<Node>, job: &mut Job) -> Result<Opened, Error> {
+pub async fn open(node: &Arc<Node>, job: &mut Job) -> Result<AcceptedRequest, Error> {
     loop {
-        until_judged(node, job).await;
-        let Choice { engine, unread, ahead } = job.choose(node)?;
+        wait_for_verdict(node, job).await;
+        let Choice { engine, unread, tokens_ahead } = job.choose(node)?;
         let inflight = Inflight::new(node.clone(), engine.slot, unread);
         let sent = Instant::now();
-        let life = node.picture.life(engine.slot);
+        let life = node.cache_index.life(engine.slot);
         let error = match send(node, job, &engine).await {
             Ok(response) => {
-                let known = node.picture.life(engine.slot);
-                let version = named_version(&response).unwrap_or(version(known));
+                let known = node.cache_index.life(engine.slot);
+                let version = response_version(&response).unwrap_or(version(known));
                 if let Some(known) = known.filter(|known| known.version == version) {
                     let blocks = &job.prefix(version).blocks;
-                    node.picture.predicted(engine.slot, known, blocks);
+                    node.cache_index.predicted(engine.slot, known, blocks);
                 }
                 let begun = Instant::now();
-                return Ok(Opened {
+                return Ok(AcceptedRequest {
                     engine,
                     life,
                     response,
                     version,
                     inflight,
-                    ahead,
+                    tokens_ahead,
                     sent,
                     begun,
                 });
@@ -130,31 +134,31 @@
             Err(error) => error,
         };
         if matches!(error, Error::Engine(..)) {
-            broke(node, job, &engine, life, None);
+            note_broken(node, job, &engine, life, None);
         }
-        tracing::info!(target: "forward", "forward: {error}; {} goes to another engine.", job.id);
+        tracing::info!(target: "forward", "forward: {error}; retrying {} on another engine.", job.id);
         node.counters.retried.fetch_add(1, Ordering::Relaxed);
-        job.note(&engine.addr, error);
+        job.record_failure(&engine.addr, error);
     }
 }
 
-/// Waits while `job` was at crashes that are still to be judged, as long as its caller
-/// waits.
-async fn until_judged(node: &Node, job: &Job) {
+/// Waits while `job` is withheld because crashes it was in flight at are still to be
+/// evaluated, but not beyond the time its first token may take.
+async fn wait_for_verdict(node: &Node, job: &Job) {
     let mut withheld = false;
-    while node.poison.withholds(job.fingerprint) && !job.is_late() {
+    while node.poison.is_withheld(job.fingerprint) && !job.is_late() {
         if !std::mem::replace(&mut withheld, true) {
-            tracing::info!(target: "poison", "poison: {} waits until its crashes are judged.", job.id);
+            tracing::info!(target: "poison", "poison: {} withheld until the crashes it was in flight at are evaluated.", job.id);
         }
-        ntex::time::sleep(JUDGED_INTERVAL).await;
+        ntex::time::sleep(VERDICT_POLL_INTERVAL).await;
     }
 }
 
-/// Sends `job` to `engine`; its answer once it has accepted.
+/// Sends `job` to `engine`; returns the answer once the engine has accepted.
 async fn send(node: &Node, job: &Job, engine: &Engine) -> Result<ClientResponse, Error> {
     let failed = |step, why| Error::Engine(step, engine.addr.clone(), why);
     let url = format!("http://{}/v1/completions", engine.addr);
-    let request = CLIENT.with(|client| client.post(&url).send_json(&job.order));
+    let request = CLIENT.with(|client| client.post(&url).send_json(&job.engine_request));
     let sent = tokio::select! {
         sent = request => sent,
         () = until_deadline(job) => return Err(Error::Deadline(engine.addr.clone())),
@@ -173,73 +177,74 @@
     }
 }
 
-/// The weights an engine's answer says it is computed under.
-fn named_version(response: &ClientResponse) -> Option<ModelVersion> {
+/// The weights version stated in the headers of an engine's answer.
+fn response_version(response: &ClientResponse) -> Option<ModelVersion> {
     response.headers().get(WEIGHTS_VERSION)?.to_str().ok()?.parse().ok()
 }
 
-/// Passes the engine's chunks to `out`, going on at another engine when a
-/// stream breaks; the usage on success.
-pub async fn pump<O: Out>(
+/// Forwards the engine's chunks to `out`, resuming on another engine when a
+/// stream breaks; returns the usage on success.
+pub async fn pump<O: ChunkSink>(
     node: &Arc<Node>,
     job: &mut Job,
-    opened: Opened,
+    accepted: AcceptedRequest,
     out: &mut O,
 ) -> Result<Usage, Error> {
-    let mut opened = opened;
+    let mut accepted = accepted;
     loop {
-        let addr = opened.engine.addr.clone();
-        let (engine, life, begun) = (opened.engine.clone(), opened.life, opened.begun);
-        let error = match relay(node, job, opened, out).await {
+        let addr = accepted.engine.addr.clone();
+        let (engine, life, begun) = (accepted.engine.clone(), accepted.life, accepted.begun);
+        let error = match relay(node, job, accepted, out).await {
             Ok(usage) => {
-                node.poison.ended_well(job.fingerprint);
+                node.poison.record_completed(job.fingerprint);
                 return Ok(usage);
             }
             Err(error @ (Error::Engine("reply", ..) | Error::Deadline(_))) => return Err(error),
             Err(error) => error,
         };
-        broke(node, job, &engine, life, Some(begun.elapsed()));
-        tracing::info!(target: "forward", "forward: {error}; resuming {} from chunk {}.", job.id, job.order.resume_from);
-        job.note(&addr, error);
-        opened = open(node, job).await?;
+        note_broken(node, job, &engine, life, Some(begun.elapsed()));
+        tracing::info!(target: "forward", "forward: {error}; resuming {} from chunk {}.", job.id, job.engine_request.resume_from);
+        job.record_failure(&addr, error);
+        accepted = open(node, job).await?;
         node.counters.resumed.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Reads one engine's stream into `out`, checked; moves the job's resume
-/// point past every chunk passed on.
-async fn relay<O: Out>(
+/// Checks the chunks of one engine's stream and forwards them to `out`; moves the
+/// job's resume point past every chunk forwarded.
+async fn relay<O: ChunkSink>(
     node: &Node,
     job: &mut Job,
-    opened: Opened,
+    accepted: AcceptedRequest,
     out: &mut O,
 ) -> Result<Usage, Error> {
-    let addr = opened.engine.addr.clone();
+    let addr = accepted.engine.addr.clone();
     let broken = |why: String| Error::Engine("stream", addr.clone(), why);
-    let mut inflight = opened.inflight;
-    let mut events = opened.response.eventsource();
+    let mut inflight = accepted.inflight;
+    let mut events = accepted.response.eventsource();
     let mut first = true;
     loop {
-        let due = job.order.resume_from;
-        let limit = match (first, job.left()) {
+        let due = job.engine_request.resume_from;
+        let limit = match (first, job.time_to_deadline()) {
             (true, Some(left)) => left,
-            (true, None) => FIRST_CHUNK,
+            (true, None) => FIRST_CHUNK_TIMEOUT,
             (false, _) => node.settings.stream_idle,
         };
-        let event = match next(node, opened.engine.slot, &mut events, limit, || out.gone()).await {
-            Err(_) if out.gone() => return Err(caller_gone()),
-            Err(_) if job.left().is_some_and(|left| left.is_zero()) => {
-                return Err(Error::Deadline(addr));
-            }
-            Err(silent) => return Err(broken(format!("silent for {silent:?} at chunk {due}"))),
-            Ok(None) => return Err(broken(format!("cut before chunk {due}"))),
-            Ok(Some(Err(error))) => return Err(broken(error.to_string())),
-            Ok(Some(Ok(event))) => event,
-        };
+        let event =
+            match next(node, accepted.engine.slot, &mut events, limit, || out.is_closed()).await {
+                Err(_) if out.is_closed() => return Err(caller_gone()),
+                Err(_) if job.time_to_deadline().is_some_and(|left| left.is_zero()) => {
+                    return Err(Error::Deadline(addr));
+                }
+                Err(silent) => return Err(broken(format!("silent for {silent:?} at chunk {due}"))),
+                Ok(None) => return Err(broken(format!("cut before chunk {due}"))),
+                Ok(Some(Err(error))) => return Err(broken(error.to_string())),
+                Ok(Some(Ok(event))) => event,
+            };
         if std::mem::take(&mut first) {
             inflight.read();
-            let pace = &node.pace[usize::from(opened.engine.slot.0)];
-            pace.observe(opened.ahead, opened.sent.elapsed());
+            let prefill_time = &node.prefill_time[usize::from(accepted.engine.slot.0)];
+            prefill_time.observe(accepted.tokens_ahead, accepted.sent.elapsed());
         }
         let chunk: Chunk =
             serde_json::from_str(&event.data).map_err(|e| broken(format!("bad chunk: {e}")))?;
@@ -258,17 +263,17 @@
         if !out.chunk(&chunk).await {
             return Err(caller_gone());
         }
-        job.order.resume_from = due + 1;
-        job.order.expect_version = Some(opened.version);
+        job.engine_request.resume_from = due + 1;
+        job.engine_request.expect_version = Some(accepted.version);
         if let Some(usage) = chunk.usage {
             return Ok(usage);
         }
     }
 }
 
-/// The engine may have crashed under `job`, whose answer had run for `ran` if
-/// it had begun.
-fn broke(
+/// Records that the engine may have crashed while it ran `job`; `ran` is the time since
+/// it accepted the request, if it had.
+fn note_broken(
     node: &Arc<Node>,
     job: &mut Job,
     engine: &Engine,
@@ -276,31 +281,31 @@
     ran: Option<Duration>,
 ) {
     job.crashed = true;
-    let request = Broken { request: job.fingerprint, attempt: job.id.0, ran };
-    poison::broke(node, engine, life, request);
+    let request = BrokenCompletion { request: job.fingerprint, attempt: job.id.0, ran };
+    poison::handle_broken(node, engine, life, request);
 }
 
 fn caller_gone() -> Error {
     Error::Engine("reply", "caller".into(), "caller went away".into())
 }
 
-/// The stream's next item, or how long it has been silent once that is over
-/// `limit`, the engine is found unreachable or the caller has `gone`.
+/// Waits for the stream's next item. Fails with the time waited once `limit` has
+/// passed, the engine is unreachable or the caller is `is_closed`.
 async fn next<S: Stream + Unpin>(
     node: &Node,
     slot: Slot,
     events: &mut S,
     limit: Duration,
-    gone: impl Fn() -> bool,
+    is_closed: impl Fn() -> bool,
 ) -> Result<Option<S::Item>, Duration> {
     let mut silent = Duration::ZERO;
     loop {
-        let watch = WATCH.min(limit.saturating_sub(silent));
+        let watch = REACHABILITY_POLL_INTERVAL.min(limit.saturating_sub(silent));
         match ntex::time::timeout(watch, events.next()).await {
             Ok(item) => return Ok(item),
             Err(()) => silent += watch,
         }
-        if silent >= limit || node.is_down(slot) || gone() {
+        if silent >= limit || node.is_down(slot) || is_closed() {
             return Err(silent);
         }
     }
@@ -308,15 +313,15 @@
 
 /// Returns once the caller's deadline for the first token has passed.
 async fn until_deadline(job: &Job) {
-    match job.left() {
+    match job.time_to_deadline() {
         Some(left) => ntex::time::sleep(left).await,
         None => std::future::pending().await,
     }
 }
 
-/// Returns once the engine in `slot` is found unreachable.
+/// Returns once the engine in `slot` is marked unreachable.
 async fn until_down(node: &Node, slot: Slot) {
     while !node.is_down(slot) {
-        ntex::time::sleep(WATCH).await;
+        ntex::time::sleep(REACHABILITY_POLL_INTERVAL).await;
     }
 }
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Keeps the membership table: pings one other router a second.
+//! Maintains the membership table: pings one other router per second.
 //!
-//! A router that failed a ping is pinged again on the next turn, so a dead
-//! one is declared down within about two turns of the first miss, by
-//! whichever router noticed first, and the news spreads with the pings.
+//! A router that failed a ping is pinged again in the next round. A dead one is
+//! therefore declared down within about two rounds of the first miss, by whichever
+//! router detected it first, and the update spreads with the pings.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,49 +14,49 @@
 use crate::peer;
 use crate::peer::wire::{Answer, Call, WireMember};
 
-/// Pause between pings.
-const EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for an answer to a ping.
-const LIMIT: Duration = Duration::from_millis(500);
+/// Interval between pings, in seconds.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
+/// Time-out of the answer to a ping, in milliseconds.
+const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pings other routers for ever.
+/// Pings other routers forever.
 pub async fn run(node: Arc<Node>) {
-    let mut again: Option<String> = None;
+    let mut retry: Option<String> = None;
     loop {
-        ntex::time::sleep(EVERY).await;
+        ntex::time::sleep(PING_INTERVAL).await;
         forget_unlisted(&node);
-        if let Some(addr) = again.take().or_else(|| choose(&node)) {
-            again = (!ping(&node, &addr).await).then_some(addr);
+        if let Some(addr) = retry.take().or_else(|| random_router(&node)) {
+            retry = (!ping(&node, &addr).await).then_some(addr);
         }
         node.refresh_entries();
     }
 }
 
-/// Merges a ping's news and answers with ours.
-pub fn answer(node: &Node, news: Vec<WireMember>) -> Vec<WireMember> {
+/// Merges the membership updates of a received ping and returns this router's updates.
+pub fn answer(node: &Node, updates: Vec<WireMember>) -> Vec<WireMember> {
     let mut members = node.members.lock().unwrap();
-    members.merge(&decode(news));
+    members.merge(&decode(updates));
     members.news().into_iter().map(WireMember::from).collect()
 }
 
-/// Says `status` of this router from now on, and tells one other at once.
-pub async fn declare(node: &Node, status: Status) {
+/// Sets this router's status to `status` and pings one other router at once, to spread it.
+pub async fn announce_status(node: &Node, status: Status) {
     node.members.lock().unwrap().set_status(status);
     node.refresh_entries();
-    if let Some(addr) = choose(node) {
+    if let Some(addr) = random_router(node) {
         ping(node, &addr).await;
     }
 }
 
-/// One exchange of news; whether `addr` answered or is known to be down.
+/// Exchanges membership updates with `addr`; whether it answered or is known to be down.
 async fn ping(node: &Node, addr: &str) -> bool {
-    let news = node.members.lock().unwrap().news();
-    let call = Call::Ping(news.into_iter().map(WireMember::from).collect());
-    let result = peer::call(node, addr, &call, LIMIT).await;
+    let updates = node.members.lock().unwrap().news();
+    let call = Call::Ping(updates.into_iter().map(WireMember::from).collect());
+    let result = peer::call(node, addr, &call, PING_TIMEOUT).await;
     let mut members = node.members.lock().unwrap();
     match result {
-        Ok(Answer::Pong(news)) => {
-            members.merge(&decode(news));
+        Ok(Answer::Pong(updates)) => {
+            members.merge(&decode(updates));
             members.answered(addr);
             true
         }
@@ -71,12 +71,12 @@
     }
 }
 
-fn decode(news: Vec<WireMember>) -> Vec<Member> {
-    news.into_iter().filter_map(|wire| Member::try_from(wire).ok()).collect()
+fn decode(updates: Vec<WireMember>) -> Vec<Member> {
+    updates.into_iter().filter_map(|wire| Member::try_from(wire).ok()).collect()
 }
 
-/// Another router of the host list, at random.
-fn choose(node: &Node) -> Option<String> {
+/// A random other router of the host list.
+fn random_router(node: &Node) -> Option<String> {
     let pool = node.pool.load();
     let me = &node.settings.advertise;
     let others: Vec<&str> =
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -1,4 +1,4 @@
-//! One caller request on its way through engines.
+//! One caller's request, its attempts at engines and the choice of the next engine.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -16,53 +16,53 @@
 use crate::error::Error;
 use crate::node::{Engine, Node};
 
-/// Engines tried for one request, resumptions included.
-const ATTEMPTS: usize = 3;
+/// Most engines tried for one request, resumptions included.
+const MAX_ATTEMPTS: usize = 3;
 
-/// How many times as long batch requests may wait.
-const BATCH_PATIENCE: u32 = 4;
+/// Factor by which batch requests may wait longer than others.
+const BATCH_WAIT_FACTOR: u32 = 4;
 
-/// A request, what has become of it so far, and where it may still go.
+/// A request, the state of its attempts, and the limits on further ones.
 pub struct Job {
-    /// The router's id for it.
+    /// The router's id of the request.
     pub id: RequestId,
-    /// What engines are sent. `resume_from` moves on as chunks pass, and
-    /// `expect_version` is set once a chunk has: chunks computed under
-    /// other weights would not continue the answer.
-    pub order: EngineRequest,
-    /// When it came in.
+    /// The request sent to engines. `resume_from` advances with the chunks forwarded,
+    /// and `expect_version` is set after the first one: chunks computed under other
+    /// weights would not continue the answer.
+    pub engine_request: EngineRequest,
+    /// When it was received.
     pub started: Instant,
-    /// What it shares with other attempts of the same request.
+    /// Fingerprint that all attempts of the same request share.
     pub fingerprint: Fingerprint,
-    /// An engine may have crashed while it was there.
+    /// An engine may have crashed while running it.
     pub crashed: bool,
     workspace: WorkspaceId,
     routing: Routing,
-    /// The prompt's blocks under each version of the weights met so far.
+    /// The prompt's block hashes by weights version, computed at first use.
     prefixes: Vec<(ModelVersion, Prefix)>,
-    /// Engines that failed it, and the failure the caller is told of.
-    failed: Vec<String>,
-    last: Option<Error>,
+    /// Engines that failed the request, and the error to return to the caller.
+    failed_engines: Vec<String>,
+    last_error: Option<Error>,
     attempts: usize,
-    /// How long after `started` the first token may come.
+    /// Longest time from `started` to the first token.
     limit: Duration,
-    /// Whether the caller named that limit: then it is a deadline.
-    deadline: bool,
+    /// Whether the caller set that limit, which makes it a deadline.
+    has_deadline: bool,
 }
 
-/// Where a job goes next.
+/// The engine chosen for a job's next attempt.
 pub struct Choice {
     /// The engine.
     pub engine: Engine,
-    /// Prompt tokens it will have to read for this job.
+    /// Prompt tokens it has to read for this job (those not cached).
     pub unread: Tokens,
-    /// Those and the ones sent there before and not yet read.
-    pub ahead: Tokens,
+    /// Those tokens plus the ones sent to it earlier and not yet read.
+    pub tokens_ahead: Tokens,
 }
 
 impl Job {
     /// A job for `request` in `workspace`, routed by `routing`; `max_wait`
-    /// stands in for a deadline the caller did not name.
+    /// applies if the caller set no deadline.
     pub fn new(
         id: RequestId,
         workspace: WorkspaceId,
@@ -72,10 +72,10 @@
     ) -> Self {
         let limit = match (request.deadline_ms, request.priority) {
             (Some(ms), _) => Duration::from_millis(ms),
-            (None, Priority::Batch) => max_wait * BATCH_PATIENCE,
+            (None, Priority::Batch) => max_wait * BATCH_WAIT_FACTOR,
             (None, _) => max_wait,
         };
-        let order = EngineRequest {
+        let engine_request = EngineRequest {
             id,
             workspace: workspace.to_string(),
             prompt: request.prompt,
@@ -86,44 +86,48 @@
         };
         Self {
             id,
-            order,
+            engine_request,
             started: Instant::now(),
             fingerprint: Fingerprint(id.0),
             crashed: false,
             workspace,
             routing,
             prefixes: Vec::new(),
-            failed: Vec::new(),
-            last: None,
+            failed_engines: Vec::new(),
+            last_error: None,
             attempts: 0,
             limit,
-            deadline: request.deadline_ms.is_some(),
+            has_deadline: request.deadline_ms.is_some(),
         }
     }
 
-    /// The job with what its request shares with other attempts of it.
+    /// Sets the fingerprint that all attempts of the same request share.
     pub fn with_fingerprint(self, fingerprint: Fingerprint) -> Self {
         Self { fingerprint, ..self }
     }
 
-    /// Chooses the engine for the next attempt by the workspace's policy;
-    /// the failure to tell the caller when none is left, every attempt or
-    /// the node's budget of second attempts is used up, or the first token
-    /// is not expected in time.
+    /// Chooses the engine for the next attempt by the workspace's policy. Returns
+    /// the error for the caller if no engine is left, all attempts or the node's
+    /// retry budget are used up, or the first token is not expected in time.
     pub fn choose(&mut self, node: &Node) -> Result<Choice, Error> {
-        if let Some(quarantined) = node.poison.refuses(self.fingerprint) {
-            // Once an engine may have run it, this is no refusal.
-            return Err(self.last.take().unwrap_or(quarantined));
+        if let Some(quarantined) = node.poison.quarantine_error(self.fingerprint) {
+            // If an engine may have run it, the earlier error is returned: "not run"
+            // would be wrong.
+            return Err(self.last_error.take().unwrap_or(quarantined));
         }
         let pool = node.pool.load();
         let mut engines: Vec<(&Engine, ModelVersion)> = pool
             .engines
             .iter()
-            .filter(|e| !e.leaving && !node.is_down(e.slot) && !self.failed.contains(&e.addr))
-            .map(|e| (e, version(node.picture.life(e.slot))))
-            .filter(|(_, version)| self.order.expect_version.is_none_or(|due| due == *version))
+            .filter(|e| {
+                !e.leaving && !node.is_down(e.slot) && !self.failed_engines.contains(&e.addr)
+            })
+            .map(|e| (e, version(node.cache_index.life(e.slot))))
+            .filter(|(_, version)| {
+                self.engine_request.expect_version.is_none_or(|due| due == *version)
+            })
             .collect();
-        if self.crashed || node.poison.suspects(self.fingerprint) {
+        if self.crashed || node.poison.is_suspect(self.fingerprint) {
             let keys: Vec<u64> = engines.iter().map(|(engine, _)| engine.key).collect();
             let apart = poison::apart(self.fingerprint, &keys);
             engines = apart.into_iter().map(|i| engines[i]).collect();
@@ -148,25 +152,26 @@
         let cached = u64::from(candidates[index].matched) * BLOCK_TOKENS as u64;
         let (engine, version) = engines[index];
         let unread = self.prefix(version).tokens.0.saturating_sub(cached);
-        let ahead = Tokens(candidates[index].pending.0 + unread);
-        self.admit(node, engine.slot, ahead)?;
-        Ok(Choice { engine: engine.clone(), unread: Tokens(unread), ahead })
+        let tokens_ahead = Tokens(candidates[index].pending.0 + unread);
+        self.admit(node, engine.slot, tokens_ahead)?;
+        Ok(Choice { engine: engine.clone(), unread: Tokens(unread), tokens_ahead })
     }
 
-    /// Whether the next attempt may be made, behind `ahead` prompt tokens.
-    fn admit(&mut self, node: &Node, slot: Slot, ahead: Tokens) -> Result<(), Error> {
-        if self.attempts == ATTEMPTS {
+    /// Checks that the next attempt may be made, with `tokens_ahead` prompt tokens to read
+    /// before the first token, and counts it.
+    fn admit(&mut self, node: &Node, slot: Slot, tokens_ahead: Tokens) -> Result<(), Error> {
+        if self.attempts == MAX_ATTEMPTS {
             return Err(self.give_up());
         }
-        let begun = self.order.resume_from > 0;
-        let wait = node.pace[usize::from(slot.0)].wait(ahead).unwrap_or_default();
+        let begun = self.engine_request.resume_from > 0;
+        let wait = node.prefill_time[usize::from(slot.0)].wait(tokens_ahead).unwrap_or_default();
         if !begun && self.started.elapsed() + wait > self.limit {
             node.counters.late.fetch_add(1, Ordering::Relaxed);
             let late = Error::Late(self.workspace.to_string(), wait, self.limit);
-            return Err(self.last.take().unwrap_or(late));
+            return Err(self.last_error.take().unwrap_or(late));
         }
-        // A stream that has begun is always gone on with: what it may cost is
-        // bounded by the streams in flight, and a cut one is worth nothing.
+        // A stream that has begun is always resumed, outside the retry budget: the cost
+        // is bounded by the streams in flight, and a truncated answer is of no use.
         if self.attempts > 0 && !begun && !node.budget.take() {
             node.counters.unretried.fetch_add(1, Ordering::Relaxed);
             return Err(self.give_up());
@@ -175,20 +180,20 @@
         Ok(())
     }
 
-    /// Whether the first token can no longer come in time.
+    /// Whether the time limit for the first token has passed without one.
     pub fn is_late(&self) -> bool {
-        self.order.resume_from == 0 && self.started.elapsed() >= self.limit
+        self.engine_request.resume_from == 0 && self.started.elapsed() >= self.limit
     }
 
-    /// How much longer the caller waits for the first token, if it named a
-    /// deadline and has not had one.
-    pub fn left(&self) -> Option<Duration> {
-        let waiting = self.deadline && self.order.resume_from == 0;
+    /// Time left until the caller's deadline for the first token, if the caller set
+    /// one and has not received a token yet.
+    pub fn time_to_deadline(&self) -> Option<Duration> {
+        let waiting = self.has_deadline && self.engine_request.resume_from == 0;
         waiting.then(|| self.limit.saturating_sub(self.started.elapsed()))
     }
 
-    /// Leading prompt blocks each engine is believed to hold, each matched
-    /// under its own weights: one walk of the picture per version.
+    /// Number of leading prompt blocks in each engine's cache according to the cache
+    /// index, matched under the engine's own weights: one lookup per version.
     fn matched(&mut self, node: &Node, engines: &[(&Engine, ModelVersion)]) -> Vec<u32> {
         let mut matched = vec![0; engines.len()];
         let versions: BTreeSet<ModelVersion> = engines.iter().map(|(_, v)| *v).collect();
@@ -196,40 +201,40 @@
             let group: Vec<usize> =
                 (0..engines.len()).filter(|&i| engines[i].1 == version).collect();
             let slots: Vec<Slot> = group.iter().map(|&i| engines[i].0.slot).collect();
-            let found = node.picture.matched(&self.prefix(version).blocks, &slots);
+            let found = node.cache_index.matched(&self.prefix(version).blocks, &slots);
             group.into_iter().zip(found).for_each(|(i, blocks)| matched[i] = blocks);
         }
         matched
     }
 
-    /// The prompt's blocks under `version`, hashed at first use.
+    /// The prompt's block hashes under `version`, computed at first use.
     pub fn prefix(&mut self, version: ModelVersion) -> &Prefix {
         let known = self.prefixes.iter().position(|(v, _)| *v == version);
         let index = known.unwrap_or_else(|| {
-            let prefix = Prefix::new(&self.order.prompt, &self.workspace, version);
+            let prefix = Prefix::new(&self.engine_request.prompt, &self.workspace, version);
             self.prefixes.push((version, prefix));
             self.prefixes.len() - 1
         });
         &self.prefixes[index].1
     }
 
-    /// Notes that the engine at `addr` failed the request with `error`. Once
-    /// one engine may have run it, no later refusal makes it "not run".
-    pub fn note(&mut self, addr: &str, error: Error) {
-        self.failed.push(addr.to_string());
-        self.last = match self.last.take() {
+    /// Records that the engine at `addr` failed the request with `error`. Once
+    /// one engine may have run it, a later refusal does not make it "not run".
+    pub fn record_failure(&mut self, addr: &str, error: Error) {
+        self.failed_engines.push(addr.to_string());
+        self.last_error = match self.last_error.take() {
             Some(unknown @ Error::Engine(..)) => Some(unknown),
             _ => Some(error),
         };
     }
 
-    /// The error the caller is given.
+    /// The error to return to the caller.
     fn give_up(&mut self) -> Error {
-        self.last.take().unwrap_or_else(|| Error::NoEngine(self.workspace.to_string()))
+        self.last_error.take().unwrap_or_else(|| Error::NoEngine(self.workspace.to_string()))
     }
 }
 
-/// The weights of an engine in `life`; the first ever before it is known.
+/// The weights version of an engine in `life`; version 1 while that is not known.
 pub fn version(life: Option<Life>) -> ModelVersion {
     life.map(|life| life.version).unwrap_or(ModelVersion(1))
 }
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -1,7 +1,7 @@
-//! Calls between this system's own processes: `h2` streams, one a call.
+//! Calls between this system's own processes over `h2`, with one stream per call.
 //!
-//! A call that fails or takes too long drops its connection: one that has
-//! gone silent for good is found by the next call and replaced.
+//! The connection of a call that fails or takes too long is dropped, so a connection
+//! that no longer delivers any data is detected by the next call and replaced.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,20 +10,21 @@
 use h2::client::SendRequest;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Largest call or answer.
+/// Largest call or answer, in bytes.
 const MESSAGE_LIMIT: usize = 64 << 20;
-/// Flow-control window of a stream: a picture passes in a few round trips.
-const WINDOW: u32 = 4 << 20;
-/// A served connection with no call for this long is closed.
-const IDLE: Duration = Duration::from_secs(120);
+/// Flow-control window of a stream, in bytes: a cache index is transferred in a few
+/// round trips.
+const FLOW_WINDOW: u32 = 4 << 20;
+/// Seconds without a call after which the serving side closes a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Connects to the process at `addr`.
 pub async fn connect(addr: SocketAddr) -> Result<SendRequest<Bytes>, String> {
     let socket = TcpStream::connect(addr).await.map_err(|e| e.to_string())?;
     socket.set_nodelay(true).map_err(|e| e.to_string())?;
     let (sender, connection) = h2::client::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(FLOW_WINDOW)
+        .initial_connection_window_size(FLOW_WINDOW)
         .handshake(socket)
         .await
         .map_err(|e| e.to_string())?;
@@ -35,7 +36,7 @@
     Ok(sender)
 }
 
-/// Makes one call over an open connection.
+/// Makes one call over an open connection and returns the answer.
 pub async fn ask(
     sender: SendRequest<Bytes>,
     addr: SocketAddr,
@@ -53,7 +54,7 @@
     }
 }
 
-/// Answers calls on `listener` by `answer`, for ever.
+/// Accepts connections on `listener` and answers their calls with `answer`, forever.
 pub async fn serve<A>(listener: TcpListener, answer: A)
 where
     A: Fn(&[u8]) -> Result<Vec<u8>, String> + Clone + 'static,
@@ -70,7 +71,7 @@
                 });
             }
             Err(error) => {
-                tracing::warn!(target: "link", "accept failed: {error}");
+                tracing::warn!(target: "link", "cannot accept connection: {error}");
                 ntex::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -82,15 +83,15 @@
     A: Fn(&[u8]) -> Result<Vec<u8>, String> + Clone + 'static,
 {
     let handshake = h2::server::Builder::new()
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_window_size(FLOW_WINDOW)
+        .initial_connection_window_size(FLOW_WINDOW)
         .handshake::<_, Bytes>(socket);
-    let mut connection = tokio::time::timeout(IDLE, handshake)
+    let mut connection = tokio::time::timeout(IDLE_TIMEOUT, handshake)
         .await
         .map_err(|_| "no handshake".to_string())?
         .map_err(|e| e.to_string())?;
     loop {
-        let next = tokio::time::timeout(IDLE, connection.accept()).await;
+        let next = tokio::time::timeout(IDLE_TIMEOUT, connection.accept()).await;
         let (request, respond) = match next {
             Err(_) => return Err("idle".into()),
             Ok(None) => return Ok(()),
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -1,8 +1,9 @@
 //! Client of the platform's log service.
 //!
-//! Every call has a time limit and an [`Error::Log`] naming the step and the
-//! service. An append that failed may still have been made, or may be made
-//! later; callers rely on the log's order, never on such an answer.
+//! Every call has a time-out and fails with an [`Error::Log`] that names the step and
+//! the service. An append that returned an error may still have been carried out, or
+//! may be carried out later, so the users of this module rely on the order of the
+//! records read from the log, never on such an error.
 
 use std::time::Duration;
 
@@ -18,32 +19,32 @@
 pub const CONFIG: &str = "config";
 /// The stream of claims of at-most-once calls.
 pub const CLAIMS: &str = "claims";
-/// The stream of engines' crashes and the requests under which they did.
+/// The stream of crash reports of engines and of requests quarantined for crashes.
 pub const CRASHES: &str = "crashes";
 /// The stream of grants of the fleet's lease.
 pub const LEASE: &str = "lease";
 /// The stream of configuration snapshots.
 pub const SNAPSHOTS: &str = "snapshots";
 
-/// Longest wait for one call.
+/// Time-out of a call, in seconds.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer read.
+/// Largest answer accepted, in bytes.
 const ANSWER_LIMIT: usize = 64 << 20;
 
 thread_local! {
     static CLIENT: Client = Client::build().timeout(TIMEOUT).finish();
 }
 
-/// What became of a conditional append.
+/// Result of a conditional append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conditional {
+pub enum ConditionalAppend {
     /// The record was appended at the offset asked for.
     Done,
     /// The stream ends elsewhere; nothing was appended.
     Moved,
 }
 
-/// A handle on the log service at one address.
+/// Client of the log service at one address.
 #[derive(Debug, Clone)]
 pub struct Log {
     addr: String,
@@ -55,7 +56,7 @@
         Self { addr: addr.to_string() }
     }
 
-    /// Appends `record` to `stream`; its offset.
+    /// Appends `record` to `stream` and returns its offset.
     pub async fn append<T: Serialize>(&self, stream: &str, record: &T) -> Result<Offset, Error> {
         let (status, bytes) = self.post(&format!("/v1/streams/{stream}"), record).await?;
         match status {
@@ -64,17 +65,17 @@
         }
     }
 
-    /// Appends `record` only if `stream` ends at `at`.
+    /// Appends `record` to `stream` only if the stream ends at offset `at`.
     pub async fn append_at<T: Serialize>(
         &self,
         stream: &str,
         at: Offset,
         record: &T,
-    ) -> Result<Conditional, Error> {
+    ) -> Result<ConditionalAppend, Error> {
         let (status, _) = self.post(&format!("/v1/streams/{stream}?at={at}"), record).await?;
         match status {
-            200 => Ok(Conditional::Done),
-            412 => Ok(Conditional::Moved),
+            200 => Ok(ConditionalAppend::Done),
+            412 => Ok(ConditionalAppend::Moved),
             _ => Err(self.failed("append", format!("status {status}"))),
         }
     }
@@ -84,7 +85,7 @@
         self.get(&format!("/v1/streams/{stream}?from={from}")).await
     }
 
-    /// The offset `stream` ends at and its last record, if it is kept.
+    /// The offset at which `stream` ends, and its last record unless that has expired.
     pub async fn tail(&self, stream: &str) -> Result<(Offset, Option<LogRecord>), Error> {
         let mut read: LogRead = self.get(&format!("/v1/streams/{stream}?last=1")).await?;
         Ok((read.next, read.records.pop()))
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,9 +1,9 @@
 //! `marjoram`: the router node, one on each entry host.
 //!
-//! It tells callers which entry host to use, routes each completion to an
-//! engine by the workspace's policy, and streams the answer back whole and
-//! in order. Configuration comes from the platform's log service, engines
-//! and entry hosts from its host list.
+//! It directs callers to an entry host, routes each completion to an engine by the
+//! workspace's policy, and streams the answer back complete and in order. It reads its
+//! configuration from the platform's log service, and the engines and entry hosts from
+//! the host list.
 
 mod clock;
 mod duty;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,8 +1,8 @@
-//! The state one router node shares between its threads.
+//! The state that the threads of one router node share.
 //!
 //! The request path reads configuration and the engine pool through
 //! `ArcSwap` (read-copy-update: followers build a new value and swap it in)
-//! and counts load with atomics; only the cache picture takes short locks.
+//! and counts load with atomics; only the cache index takes short locks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -27,12 +27,12 @@
 use crate::peer::links::Links;
 use crate::quarantine::Poison;
 
-/// Second attempts allowed, in thousandths of the requests.
-const RETRY_SHARE: u32 = 200;
-/// Second attempts allowed at once beyond that share.
-const RETRY_RESERVE: u32 = 20;
+/// Retries allowed, in thousandths of the requests.
+const RETRY_BUDGET_PER_MILLE: u32 = 200;
+/// Retries allowed in a burst beyond that share.
+const RETRY_BURST: u32 = 20;
 
-/// Low bits of a request id that count this process's requests.
+/// Number of low bits of a request id that count this process's requests.
 const ID_BITS: u32 = 24;
 
 /// The configuration in force, as the request path sees it.
@@ -56,7 +56,7 @@
 /// An engine of the pool.
 #[derive(Debug, Clone, Serialize)]
 pub struct Engine {
-    /// Its slot in the cache picture.
+    /// Its slot in the cache index.
     pub slot: Slot,
     /// `ip:port`.
     pub addr: String,
@@ -64,11 +64,11 @@
     pub key: u64,
     /// Its data centre.
     pub dc: String,
-    /// The host list says it is leaving.
+    /// The host list marks it as leaving.
     pub leaving: bool,
 }
 
-/// Entry hosts, engines and plain services, as the host list last said.
+/// Entry hosts, engines and plain services of the host list last read.
 #[derive(Debug, Default, Serialize)]
 pub struct Pool {
     /// Engines, by slot.
@@ -84,21 +84,21 @@
 pub struct Counters {
     /// Completions received.
     pub requests: AtomicU64,
-    /// Completions answered whole.
+    /// Completions answered in full.
     pub answered: AtomicU64,
     /// Completions that failed.
     pub failed: AtomicU64,
-    /// Attempts that moved to another engine before it accepted.
+    /// Attempts that failed before the engine accepted and moved to another engine.
     pub retried: AtomicU64,
-    /// Requests refused because every queue was too long.
+    /// Requests refused because the first token was not expected in time.
     pub late: AtomicU64,
-    /// Second attempts not made because the budget was spent.
+    /// Retries not made because the retry budget was used up.
     pub unretried: AtomicU64,
     /// Streams resumed on another engine after a break.
     pub resumed: AtomicU64,
     /// Cache events applied.
     pub events: AtomicU64,
-    /// Gaps seen in engines' event sequences.
+    /// Gaps detected in engines' event sequences.
     pub gaps: AtomicU64,
 }
 
@@ -108,29 +108,29 @@
     pub settings: Settings,
     /// Configuration in force.
     pub active: ArcSwap<Active>,
-    /// Hosts as last listed.
+    /// Hosts of the host list last read.
     pub pool: ArcSwap<Pool>,
-    /// Which engine holds which block.
-    pub picture: Picture,
+    /// Index of the blocks in each engine's cache.
+    pub cache_index: Picture,
     /// One instance of every policy.
     pub policies: policy::Router,
     /// Requests in flight from this node, by slot.
     pub inflight: [AtomicU32; MAX_SLOTS],
     /// Prompt tokens sent from this node and not yet read, by slot.
     pub pending: [AtomicU64; MAX_SLOTS],
-    /// How fast each engine reads prompts, by slot.
-    pub pace: [Pace; MAX_SLOTS],
-    /// Second attempts this node may make.
+    /// Measured time each engine takes to read prompts, by slot.
+    pub prefill_time: [Pace; MAX_SLOTS],
+    /// Retry budget of this node.
     pub budget: Budget,
     /// Requests each engine last reported beyond this node's own, by slot.
-    pub others: [AtomicU32; MAX_SLOTS],
+    pub remote_load: [AtomicU32; MAX_SLOTS],
     /// Engines this node could not reach, by slot.
     pub down: [AtomicBool; MAX_SLOTS],
-    /// A configuration has been read up to the stream's end once.
+    /// A configuration has been put in force, or the stream has been read to its end.
     pub configured: AtomicBool,
-    /// Warm enough for callers (see `warm`).
+    /// The start-up reads are done and callers are accepted (see `warm`).
     pub ready: AtomicBool,
-    /// Set on SIGTERM: take no new work, send callers elsewhere.
+    /// Set on SIGTERM or SIGINT: accept no new work, send callers to other routers.
     pub draining: AtomicBool,
     /// Counters.
     pub counters: Counters,
@@ -138,17 +138,17 @@
     pub metrics: StatsdClient,
     /// Claims of at-most-once calls read from the log service.
     pub claims: Mutex<Claims>,
-    /// Requests under which engines crash.
+    /// Requests suspected of crashing engines, and those in quarantine.
     pub poison: Poison,
-    /// Where each engine's events have been read up to.
+    /// Position up to which each engine's events have been read.
     pub cursors: Mutex<HashMap<Slot, Cursor>>,
-    /// A configuration another router offered, not yet taken up.
-    pub offered: Mutex<Option<Config>>,
-    /// Which routers are up.
+    /// A configuration received from another router, not yet applied.
+    pub offered_config: Mutex<Option<Config>>,
+    /// Membership table of the routers.
     pub members: Mutex<Members>,
-    /// Routers callers may be sent to: listed, and up as far as is known.
+    /// Routers callers may be sent to: in the host list and not known to be unusable.
     pub entries: ArcSwap<Vec<HostEntry>>,
-    /// This router's side of the fleet's lease.
+    /// This router's candidacy for, or hold on, the fleet's lease.
     pub contender: Mutex<Contender>,
     /// Connections to other routers.
     pub links: Links,
@@ -159,22 +159,22 @@
     /// A node with empty state for `settings`.
     pub fn new(settings: Settings) -> Self {
         let metrics = statsd(&settings);
-        // Random, not from the time of day: that may step back at a restart.
-        let life: u64 = rand::random();
-        let members = Members::new(settings.advertise.clone(), unix_ms());
-        let owner = format!("{}/{life:016x}", settings.advertise);
+        // Random rather than from the wall clock, which may step back at a restart.
+        let nonce: u64 = rand::random();
+        let members = Members::new(settings.advertise.clone(), start_incarnation());
+        let owner = format!("{}/{nonce:016x}", settings.advertise);
         let contender = Contender::new(owner, settings.lease_ttl);
         Self {
             settings,
             active: ArcSwap::default(),
             pool: ArcSwap::default(),
-            picture: Picture::new(),
+            cache_index: Picture::new(),
             policies: policy::Router::new(),
             inflight: std::array::from_fn(|_| AtomicU32::new(0)),
             pending: std::array::from_fn(|_| AtomicU64::new(0)),
-            pace: std::array::from_fn(|_| Pace::new()),
-            budget: Budget::new(RETRY_SHARE, RETRY_RESERVE),
-            others: std::array::from_fn(|_| AtomicU32::new(0)),
+            prefill_time: std::array::from_fn(|_| Pace::new()),
+            budget: Budget::new(RETRY_BUDGET_PER_MILLE, RETRY_BURST),
+            remote_load: std::array::from_fn(|_| AtomicU32::new(0)),
             down: std::array::from_fn(|_| AtomicBool::new(false)),
             configured: AtomicBool::new(false),
             ready: AtomicBool::new(false),
@@ -184,31 +184,31 @@
             claims: Mutex::new(Claims::new()),
             poison: Poison::default(),
             cursors: Mutex::default(),
-            offered: Mutex::default(),
+            offered_config: Mutex::default(),
             members: Mutex::new(members),
             entries: ArcSwap::default(),
             contender: Mutex::new(contender),
             links: Links::default(),
-            next_id: AtomicU64::new(life << ID_BITS),
+            next_id: AtomicU64::new(nonce << ID_BITS),
         }
     }
 
-    /// A fresh request id.
+    /// Allocates a new request id.
     pub fn request_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Whether this router takes callers and duties.
-    pub fn fit(&self) -> bool {
+    /// Whether this router may serve callers and hold the lease: warmed up and not draining.
+    pub fn is_available(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
     }
 
-    /// The fencing token, while this router is the keeper.
+    /// The fencing token, while this router is the lease holder.
     pub fn token(&self) -> Option<Fencing> {
         self.contender.lock().unwrap().token(clock::now())
     }
 
-    /// Works out again which routers callers may be sent to.
+    /// Recomputes which routers callers may be sent to.
     pub fn refresh_entries(&self) {
         let members = self.members.lock().unwrap();
         let pool = self.pool.load();
@@ -219,19 +219,20 @@
     /// Requests in flight at the engine in `slot`, from this node and others.
     pub fn load(&self, slot: Slot) -> u32 {
         let index = usize::from(slot.0);
-        self.inflight[index].load(Ordering::Relaxed) + self.others[index].load(Ordering::Relaxed)
+        self.inflight[index].load(Ordering::Relaxed)
+            + self.remote_load[index].load(Ordering::Relaxed)
     }
 
-    /// Takes in that the engine in `slot` reports `total` requests. Its
-    /// report lags, so what it says of this node's own requests is replaced
-    /// by what this node knows.
-    pub fn report(&self, slot: Slot, total: u32) {
+    /// Records that the engine in `slot` reports `total` requests. The report lags
+    /// behind, so this node's own requests, which it counts itself, are subtracted
+    /// and only the rest is stored.
+    pub fn record_load_report(&self, slot: Slot, total: u32) {
         let index = usize::from(slot.0);
         let own = self.inflight[index].load(Ordering::Relaxed);
-        self.others[index].store(total.saturating_sub(own), Ordering::Relaxed);
+        self.remote_load[index].store(total.saturating_sub(own), Ordering::Relaxed);
     }
 
-    /// Prompt tokens this node has sent to `slot` that are not yet read.
+    /// Prompt tokens this node has sent to `slot` that the engine has not yet read.
     pub fn pending(&self, slot: Slot) -> Tokens {
         Tokens(self.pending[usize::from(slot.0)].load(Ordering::Relaxed))
     }
@@ -241,15 +242,15 @@
         self.down[usize::from(slot.0)].load(Ordering::Relaxed)
     }
 
-    /// Requests in flight from this node over all engines.
+    /// Requests in flight from this node at all engines.
     pub fn inflight_total(&self) -> u32 {
         self.inflight.iter().map(|n| n.load(Ordering::Relaxed)).sum()
     }
 }
 
-/// A number for this life of the process: later lives have higher ones, as
-/// long as the time of day does not step back (see `members`).
-fn unix_ms() -> Incarnation {
+/// Incarnation of this process, from the wall clock: higher after each restart, as
+/// long as the wall clock does not step back (see `members`).
+fn start_incarnation() -> Incarnation {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     Incarnation(since.map(|d| d.as_millis() as u64).unwrap_or(0))
 }
--- a/crates/router/src/once.rs
+++ b/crates/router/src/once.rs
@@ -2,8 +2,9 @@
 //!
 //! A call with an idempotency key is claimed in the log service's `claims`
 //! stream before it is sent (see [`marjoram_core::claims`]). The router
-//! sends it only once it has read its own claim back as the key's holder,
-//! and never retries after sending. The caller's answer is truthful:
+//! sends it only after it has read the stream and found that its own claim holds
+//! the key, and never retries after sending. The caller's answer states whether
+//! the call ran:
 //!
 //! - `not_run: true` when nothing was sent: the claim could not be
 //!   appended or read back, or the service refused the connection;
@@ -26,20 +27,20 @@
 use crate::log::{self, Log};
 use crate::node::Node;
 
-/// Longest wait for the service's answer.
-const SERVICE_LIMIT: Duration = Duration::from_secs(10);
-/// A claim not acted on for this long is left alone: a claim must be acted
-/// on, or abandoned, well before the log service drops it (see
+/// Time-out of the service's answer, in seconds.
+const SERVICE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Age, in seconds, from which the router no longer sends or abandons a claimed call:
+/// a claim must be acted on, or abandoned, well before the log service drops it (see
 /// `marjoram_core::claims`).
-const CLAIM_FRESH: Duration = Duration::from_secs(10);
-/// Pause between background reads of the claims stream.
-const FOLLOW_EVERY: Duration = Duration::from_secs(2);
+const CLAIM_MAX_AGE: Duration = Duration::from_secs(10);
+/// Interval, in seconds, between background reads of the claims stream.
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(2);
 
 thread_local! {
-    static CLIENT: Client = Client::build().timeout(SERVICE_LIMIT).finish();
+    static CLIENT: Client = Client::build().timeout(SERVICE_TIMEOUT).finish();
 }
 
-/// What the caller is answered.
+/// The reply to the caller.
 pub enum Reply {
     /// The service's answer, and whether it was replayed from the log.
     Answer(Answer, bool),
@@ -49,7 +50,7 @@
 
 /// A call to a plain service.
 pub struct Call {
-    /// Live runners of the service, in the order to try them.
+    /// Addresses of the live instances of the service, in the order to try them.
     pub services: Vec<String>,
     /// The call's path at the service, without `/v1/`.
     pub path: String,
@@ -58,8 +59,8 @@
 }
 
 impl Call {
-    /// Sends the call to the first runner that takes the connection; a
-    /// refused one has not seen it.
+    /// Sends the call to the first instance that accepts the connection; one that
+    /// refuses the connection has not received the call.
     async fn send(&self, key: Option<&str>) -> Result<Answer, Error> {
         let mut refused = Error::NoService(self.path.clone());
         for service in &self.services {
@@ -106,8 +107,8 @@
     let log = Log::new(node.settings.log_service);
     let begun = clock::now();
     let claim = ClaimRecord::Claim { key: key.into(), owner: owner.clone() };
-    let error = match hold(node, &log, &claim, key, &owner).await {
-        Ok(Decision::Send) if clock::now() < begun + CLAIM_FRESH => {
+    let error = match claim_key(node, &log, &claim, key, &owner).await {
+        Ok(Decision::Send) if clock::now() < begun + CLAIM_MAX_AGE => {
             match call.send(Some(key)).await {
                 Ok(answer) => {
                     record(&log, key, &owner, &answer).await;
@@ -125,17 +126,17 @@
         }
         Err(error) => error,
     };
-    // Nothing was sent. A claim gone stale is left to expire: an abandon that
-    // comes when others no longer see the claim would free the key for one
+    // Nothing was sent. A claim that is too old is left to expire: an abandon record
+    // that arrives when others can no longer read the claim would free the key for one
     // router and not for another.
-    if clock::now() < begun + CLAIM_FRESH {
+    if clock::now() < begun + CLAIM_MAX_AGE {
         abandon(&log, key, &owner).await;
     }
     Reply::Refused(error)
 }
 
-/// Claims `key` for `owner` and reads back what that came to.
-async fn hold(
+/// Appends a claim of `key` for `owner` and reads the stream to decide whether it holds.
+async fn claim_key(
     node: &Node,
     log: &Log,
     claim: &ClaimRecord,
@@ -150,24 +151,25 @@
     Ok(node.claims.lock().unwrap().decide(key, owner, claimed))
 }
 
-/// Records the holder's answer for later claims.
+/// Records the service's answer, to be replayed to later claims of the key.
 async fn record(log: &Log, key: &str, owner: &str, answer: &Answer) {
     let outcome =
         ClaimRecord::Outcome { key: key.into(), owner: owner.into(), answer: answer.clone() };
     if let Err(error) = log.append(log::CLAIMS, &outcome).await {
-        tracing::warn!(target: "once", "once: outcome of {key} not recorded: {error}.");
+        tracing::warn!(target: "once", "once: outcome of call {key} not recorded: {error}.");
     }
 }
 
-/// Best effort: tells later claims that `owner` never sent the call.
+/// Records, on a best-effort basis, that `owner` never sent the call, which frees the key
+/// for later claims.
 async fn abandon(log: &Log, key: &str, owner: &str) {
     let record = ClaimRecord::Abandon { key: key.into(), owner: owner.into() };
     if let Err(error) = log.append(log::CLAIMS, &record).await {
-        tracing::info!(target: "once", "once: abandon of {key} not recorded: {error}.");
+        tracing::info!(target: "once", "once: abandon record of call {key} not appended: {error}.");
     }
 }
 
-/// Reads the claims stream to its end, as it was at the last read.
+/// Reads the claims stream up to the end reported by the last read.
 async fn catch_up(node: &Node, log: &Log) -> Result<(), Error> {
     loop {
         let from = node.claims.lock().unwrap().next();
@@ -180,7 +182,7 @@
                     claims.apply(record.offset, &parsed);
                 }
                 Err(error) => {
-                    tracing::warn!(target: "once", "once: claim record {} passed over, malformed: {error}.", record.offset);
+                    tracing::warn!(target: "once", "once: claim record {} skipped, malformed: {error}.", record.offset);
                     claims.skip(record.offset);
                 }
             }
@@ -191,11 +193,11 @@
     }
 }
 
-/// Keeps the claims read current in the background, for ever.
+/// Reads the claims stream in the background, forever.
 pub async fn follow(node: Arc<Node>) {
     let log = Log::new(node.settings.log_service);
     loop {
         let _ = catch_up(&node, &log).await;
-        ntex::time::sleep(FOLLOW_EVERY).await;
+        ntex::time::sleep(FOLLOW_INTERVAL).await;
     }
 }
--- a/crates/router/src/options.rs
+++ b/crates/router/src/options.rs
@@ -2,7 +2,7 @@
 //!
 //! Every flag may also be given as `MARJORAM_` and its name in upper case
 //! with `-` as `_` (`--log-service` is `MARJORAM_LOG_SERVICE`); the flag
-//! wins. Settings are checked before the node starts.
+//! takes precedence. Settings are validated before the node starts.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -12,15 +12,15 @@
 
 use crate::error::Error;
 
-/// The command that runs the proxy, whose settings are a file.
+/// The subcommand that runs the proxy, which reads its settings from a file.
 pub const PROXY: &str = "proxy";
 
-/// Checked settings of one router node.
+/// Validated settings of one router node.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Address to serve callers on.
     pub listen: SocketAddr,
-    /// Address callers are told to use for this node.
+    /// Address of this node that callers are given.
     pub advertise: String,
     /// This node's data centre.
     pub dc: String,
@@ -32,9 +32,9 @@
     pub statsd: SocketAddr,
     /// Largest prompt accepted, in bytes.
     pub max_prompt: usize,
-    /// How long a caller may keep a route answer.
+    /// How long a caller may cache a route answer.
     pub route_ttl: Duration,
-    /// How long to keep serving after SIGTERM before closing.
+    /// How long to keep serving after SIGTERM or SIGINT before stopping.
     pub drain: Duration,
     /// Added to a router's port for the link between routers.
     pub peer_offset: u16,
@@ -42,10 +42,10 @@
     pub lease_ttl: Duration,
     /// How long the log service keeps records.
     pub log_retention: Duration,
-    /// Longest silence inside an engine's stream.
+    /// Time without data after which an engine's stream is resumed on another engine.
     pub stream_idle: Duration,
-    /// Longest expected wait for the first token of a request that names no
-    /// deadline; batch requests may wait four times as long.
+    /// Longest expected wait for the first token of a request without a deadline;
+    /// batch requests may wait four times as long.
     pub max_wait: Duration,
     /// Worker threads serving callers.
     pub workers: usize,
@@ -53,7 +53,7 @@
     pub json_logs: bool,
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug)]
 pub enum Parsed {
     /// Print this text and stop.
@@ -67,13 +67,18 @@
     let mut opts = Options::new();
     opts.optflag("h", "help", "print this help");
     opts.optopt("", "listen", "address to serve callers on [127.0.0.1:8000]", "ADDR");
-    opts.optopt("", "advertise", "address callers are told to use [the listen address]", "ADDR");
+    opts.optopt(
+        "",
+        "advertise",
+        "address of this node given to callers [the listen address]",
+        "ADDR",
+    );
     opts.optopt("", "dc", "this node's data centre [dc1]", "NAME");
     opts.optopt("", "log-service", "address of the log service", "ADDR");
     opts.optopt("", "host-list", "address of the host list", "ADDR");
     opts.optopt("", "statsd", "address of the statsd sink [127.0.0.1:8125]", "ADDR");
     opts.optopt("", "max-prompt", "largest prompt in bytes [4194304]", "BYTES");
-    opts.optopt("", "route-ttl-ms", "ms a caller may keep a route answer [10000]", "MS");
+    opts.optopt("", "route-ttl-ms", "ms a caller may cache a route answer [10000]", "MS");
     opts.optopt("", "drain-ms", "ms to keep serving after SIGTERM [3000]", "MS");
     opts.optopt(
         "",
@@ -81,18 +86,18 @@
         "added to a router's port for the link between routers [50]",
         "N",
     );
-    opts.optopt("", "lease-ttl-ms", "ms the fleet's lease lives [3000]", "MS");
+    opts.optopt("", "lease-ttl-ms", "ms until the fleet's lease expires [3000]", "MS");
     opts.optopt("", "log-retention-s", "seconds the log service keeps records [3600]", "S");
     opts.optopt(
         "",
         "stream-idle-ms",
-        "ms of silence after which a stream is resumed elsewhere [3000]",
+        "ms without data after which a stream is resumed on another engine [3000]",
         "MS",
     );
     opts.optopt(
         "",
         "max-wait-ms",
-        "ms of expected wait over which a request is refused [10000]",
+        "expected ms until the first token above which a request is refused [10000]",
         "MS",
     );
     opts.optopt("", "workers", "threads serving callers [2]", "N");
@@ -135,7 +140,7 @@
     })))
 }
 
-/// Sets up `tracing`: text or JSON on stderr, filtered by `MARJORAM_LOG`.
+/// Initializes `tracing`: text or JSON on stderr, filtered by `MARJORAM_LOG`.
 pub fn init_logs(settings: &Settings) {
     let filter = tracing_subscriber::EnvFilter::try_from_env("MARJORAM_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
@@ -154,7 +159,7 @@
     match m.opt_str(name).or_else(|| std::env::var(&var).ok()) {
         None => Ok(None),
         Some(text) => text.parse().map(Some).map_err(|e: T::Err| {
-            Error::Setting(name, format!("cannot read {text:?} (from the flag or {var}): {e}"))
+            Error::Setting(name, format!("cannot parse {text:?} (from the flag or {var}): {e}"))
         }),
     }
 }
@@ -166,7 +171,7 @@
     optional(m, name).map(|v| v.unwrap_or(default))
 }
 
-/// A number that must not be below `least`.
+/// A setting with a number of at least `least`.
 fn at_least<T>(m: &Matches, name: &'static str, default: T, least: T) -> Result<T, Error>
 where
     T: FromStr + PartialOrd + std::fmt::Display,
@@ -174,7 +179,7 @@
 {
     match setting(m, name, default)? {
         value if value < least => {
-            Err(Error::Setting(name, format!("{value} is below the least, {least}")))
+            Err(Error::Setting(name, format!("{value} is below the minimum of {least}")))
         }
         value => Ok(value),
     }
--- a/crates/router/src/peer.rs
+++ b/crates/router/src/peer.rs
@@ -1,11 +1,11 @@
 //! The link between routers: `h2` streams carrying `bincode`.
 //!
-//! One connection to each router called, one stream a call. A router's
-//! link address is its own address with the port moved on by `--peer-offset`,
+//! There is one connection to each router called and one stream per call. A router's
+//! link address is its caller-facing address with `--peer-offset` added to the port,
 //! so the host list needs no second address.
 //!
-//! Nothing that must hold rests on this link: it carries membership news and
-//! what a starting router can use to skip a cold start.
+//! Correctness does not depend on this link: it carries membership updates and state
+//! that a starting router can use to avoid a cold start.
 
 pub mod links;
 pub mod wire;
@@ -20,16 +20,17 @@
 use crate::node::Node;
 use wire::{Answer, Call};
 
-/// The link address of the router that callers reach at `addr`.
+/// The link address of the router whose caller-facing address is `addr`.
 pub fn link_addr(node: &Node, addr: &str) -> Result<SocketAddr, Error> {
-    let wrong = |why: String| Error::Peer("address", addr.into(), why);
-    let mut link: SocketAddr = addr.parse().map_err(|_| wrong("not ip:port".into()))?;
+    let invalid = |why: String| Error::Peer("address", addr.into(), why);
+    let mut link: SocketAddr = addr.parse().map_err(|_| invalid("not ip:port".into()))?;
     let port = link.port().checked_add(node.settings.peer_offset);
-    link.set_port(port.ok_or_else(|| wrong("port out of range".into()))?);
+    link.set_port(port.ok_or_else(|| invalid("port out of range".into()))?);
     Ok(link)
 }
 
-/// Calls the router that callers reach at `addr`, waiting `limit` at most.
+/// Calls the router whose caller-facing address is `addr`, with time-out `limit`. Drops
+/// the connection if the call fails or times out.
 pub async fn call(node: &Node, addr: &str, call: &Call, limit: Duration) -> Result<Answer, Error> {
     let link = link_addr(node, addr)?;
     let body = wire::encode(call).map_err(|e| Error::Peer("encode", addr.into(), e))?;
--- a/crates/router/src/peer/links.rs
+++ b/crates/router/src/peer/links.rs
@@ -17,7 +17,7 @@
         self.0.lock().unwrap().get(&link).cloned()
     }
 
-    /// Keeps the connection to `link`.
+    /// Stores the connection to `link` for later calls.
     pub fn insert(&self, link: SocketAddr, sender: SendRequest<Bytes>) {
         self.0.lock().unwrap().insert(link, sender);
     }
--- a/crates/router/src/peer/wire.rs
+++ b/crates/router/src/peer/wire.rs
@@ -1,7 +1,7 @@
-//! What routers say to each other, as `bincode` carries it.
+//! Messages between routers, encoded with `bincode`.
 //!
 //! Integers are fixed-width: block hashes are random, so a variable-width
-//! code would only lengthen them.
+//! encoding would only make them longer.
 
 use bincode::config::{Configuration, Fixint, LittleEndian};
 use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
@@ -15,47 +15,47 @@
 /// A call from one router to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Call {
-    /// News of members; answered by the callee's news.
+    /// Membership updates; answered with the callee's updates.
     Ping(Vec<WireMember>),
-    /// A starting router asks for what the callee knows.
-    Warm,
+    /// A starting router asks for the callee's state.
+    FetchState,
 }
 
 /// The answer to a [`Call`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// News of members.
+    /// Membership updates.
     Pong(Vec<WireMember>),
-    /// What the callee knows; empty while it is warming up itself.
-    Warmth(Warmth),
+    /// The callee's state; empty while it is starting up itself.
+    RouterState(RouterState),
 }
 
-/// What a router can tell one that has just started.
+/// State that a router sends to one that has just started.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub struct Warmth {
+pub struct RouterState {
     /// Its configuration, as JSON; empty when it has none.
     pub config: Vec<u8>,
-    /// Its picture of each engine's cache.
+    /// Its cache index, by engine.
     pub engines: Vec<WireEngine>,
 }
 
-/// One engine's part of a cache picture.
+/// One engine's entries of a cache index.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WireEngine {
     /// `ip:port` of the engine.
     pub addr: String,
-    /// The incarnation the entries were learnt under.
+    /// Incarnation of the engine that the entries belong to.
     pub incarnation: u64,
-    /// The weights they were learnt under.
+    /// Weights version that the entries belong to.
     pub version: u32,
     /// Sequence number of the engine's next event to read.
     pub next: u64,
-    /// Block hashes believed cached.
+    /// Hashes of the blocks in its cache, according to the index.
     pub blocks: Vec<u64>,
 }
 
 impl WireEngine {
-    /// The entry's incarnation, weights and blocks as the core's types.
+    /// The engine's incarnation, weights version and blocks as types of the core crate.
     pub fn entries(&self) -> (Incarnation, ModelVersion, Vec<BlockHash>) {
         let blocks = self.blocks.iter().copied().map(BlockHash).collect();
         (Incarnation(self.incarnation), ModelVersion(self.version), blocks)
--- a/crates/router/src/poison.rs
+++ b/crates/router/src/poison.rs
@@ -1,15 +1,16 @@
-//! Completions under which engines crash, on the own interface.
+//! Detection of completions that crash engines, on the own interface.
 //!
-//! A router that loses completions with an engine that crashed appends what it
-//! had there to the log service's `crashes` stream; all routers read it and
-//! find alike which request it was (see [`marjoram_core::poison`]). What is found
-//! stands in the same stream, and is appended anew while it matters: the log
-//! service keeps its records for a limited time. While that is away each router
-//! goes by what it has seen itself, and what it has to tell waits.
+//! When an engine crashes, each router appends the completions it had in flight there to
+//! the log service's `crashes` stream. All routers read the stream and reach the same
+//! result as to which request caused the crashes (see [`marjoram_core::poison`]). The
+//! resulting quarantine entries are in the same stream, and are appended again while
+//! they are in force, because the log service keeps its records for a limited time.
+//! While the log service is unavailable, each router relies on its own observations and
+//! its records are queued.
 //!
-//! An engine has crashed if it refuses connections right after it broke off, or
-//! answers in another life; one that is leaving, or not listed, ends without any
-//! request's doing.
+//! An engine counts as crashed if it refuses connections right after it broke a
+//! completion, or if it answers with another incarnation. An engine that is leaving, or
+//! is not in the host list, stops for other reasons than a request and is not counted.
 
 use std::io;
 use std::sync::Arc;
@@ -25,39 +26,47 @@
 use crate::follow;
 use crate::log::{self, Log};
 use crate::node::{Engine, Node};
-use crate::quarantine::{Broken, CrashRecord, EVERY, TOLD};
+use crate::quarantine::{BrokenCompletion, CrashRecord, READ_INTERVAL, REPORT_WINDOW};
 
-/// Time in which all completions that an engine ended are noticed.
-const GATHER: Duration = Duration::from_millis(20);
-/// Longest time to connect to an engine that may have crashed.
-const CONNECT: Duration = Duration::from_millis(300);
+/// Milliseconds within which all completions that an engine broke are noticed.
+const GATHER_DELAY: Duration = Duration::from_millis(20);
+/// Time-out, in milliseconds, to connect to an engine that may have crashed, and to
+/// read its load report.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Key of one life of an engine.
+/// Hash that identifies one incarnation of an engine.
 fn key(engine: &Engine, life: Option<Life>) -> u64 {
     let incarnation = life.map(|life| life.incarnation.0);
     xxh3_64(format!("{}@{incarnation:?}", engine.addr).as_bytes())
 }
 
-/// Takes in that `engine`, in `life`, broke off a completion.
-pub fn broke(node: &Arc<Node>, engine: &Engine, life: Option<Life>, request: Broken) {
+/// Records that `engine`, in `life`, broke a completion, and starts a check for a crash
+/// unless one is under way.
+pub fn handle_broken(
+    node: &Arc<Node>,
+    engine: &Engine,
+    life: Option<Life>,
+    request: BrokenCompletion,
+) {
     let listed = |e: &Engine| e.addr == engine.addr && !e.leaving;
     if !node.pool.load().engines.iter().any(listed) {
         return;
     }
     let key = key(engine, life);
-    if node.poison.broke(key, request) {
-        ntex::rt::spawn(inspect(node.clone(), engine.addr.clone(), life, key));
+    if node.poison.record_broken(key, request) {
+        ntex::rt::spawn(check_for_crash(node.clone(), engine.addr.clone(), life, key));
     }
 }
 
-/// Whether the engine at `addr`, which has just ended requests in `life`, has
-/// crashed: it refuses connections, or another life takes them already.
+/// Whether the engine at `addr`, which has just broken completions in `life`, has
+/// crashed: it refuses connections, or a restarted process already accepts them.
 async fn has_crashed(addr: &str, life: Option<Life>) -> bool {
-    match tokio::time::timeout(CONNECT, TcpStream::connect(addr)).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
         Ok(Ok(_)) => {
             let url = format!("http://{addr}/v1/load");
-            let report = follow::get_json::<LoadReport>(&Client::new(), &url, CONNECT).await;
+            let report =
+                follow::get_json::<LoadReport>(&Client::new(), &url, CONNECT_TIMEOUT).await;
             let other = |life: Life| report.is_ok_and(|r| r.incarnation != life.incarnation);
             life.is_some_and(other)
         }
@@ -65,59 +74,59 @@
     }
 }
 
-/// Finds out whether an engine has crashed, and tells what was there.
-async fn inspect(node: Arc<Node>, addr: String, life: Option<Life>, key: u64) {
-    ntex::time::sleep(GATHER).await;
+/// Checks whether an engine has crashed and, if so, reports the completions it broke.
+async fn check_for_crash(node: Arc<Node>, addr: String, life: Option<Life>, key: u64) {
+    ntex::time::sleep(GATHER_DELAY).await;
     let crashed = has_crashed(&addr, life).await;
-    let reports = node.poison.take_broken(key);
-    tracing::info!(target: "poison", "poison: engine {addr} ended {} requests, crashed: {crashed}.", reports.len());
+    let reports = node.poison.take_crash_reports(key);
+    tracing::info!(target: "poison", "poison: engine {addr} broke {} requests; crashed: {crashed}.", reports.len());
     if !crashed {
         return;
     }
     node.poison.add(&reports);
     node.poison.queue(CrashRecord::Crash(reports));
-    tell(&node, &Log::new(node.settings.log_service)).await;
-    ntex::time::sleep(TOLD).await;
+    append_pending(&node, &Log::new(node.settings.log_service)).await;
+    ntex::time::sleep(REPORT_WINDOW).await;
     node.poison.detect();
 }
 
-/// Appends what waits; what the log service does not take goes on waiting.
-async fn tell(node: &Node, log: &Log) {
+/// Appends the queued records; those that the log service does not accept are queued again.
+async fn append_pending(node: &Node, log: &Log) {
     let mut left = Vec::new();
-    for record in node.poison.take_waiting() {
+    for record in node.poison.take_pending_records() {
         if let Err(error) = log.append(log::CRASHES, &record).await {
-            tracing::info!(target: "poison", "poison: crash not recorded yet: {error}.");
+            tracing::info!(target: "poison", "poison: crash record not appended, will retry: {error}.");
             left.push(record);
         }
     }
     left.into_iter().for_each(|record| node.poison.queue(record));
 }
 
-/// Follows the stream for ever.
+/// Follows the `crashes` stream forever.
 pub async fn follow(node: Arc<Node>) {
     let log = Log::new(node.settings.log_service);
     loop {
-        if let Err(error) = read_on(&node, &log).await {
+        if let Err(error) = read_new_records(&node, &log).await {
             tracing::debug!(target: "poison", "poison: {error}.");
         }
         node.poison.detect();
-        tell(&node, &log).await;
-        ntex::time::sleep(EVERY).await;
+        append_pending(&node, &log).await;
+        ntex::time::sleep(READ_INTERVAL).await;
     }
 }
 
-/// Reads and takes in what the stream holds beyond the last read.
-async fn read_on(node: &Node, log: &Log) -> Result<(), Error> {
+/// Reads and applies the records appended to the stream since the last read.
+async fn read_new_records(node: &Node, log: &Log) -> Result<(), Error> {
     let read = log.read(log::CRASHES, node.poison.next()).await?;
     for record in &read.records {
         match serde_json::from_str::<CrashRecord>(&record.body) {
             Ok(CrashRecord::Crash(reports)) => node.poison.add(&reports),
             Ok(CrashRecord::Quarantined(entry)) => node.poison.admit(entry),
             Err(error) => {
-                tracing::warn!(target: "poison", "poison: crash record {} passed over, malformed: {error}.", record.offset);
+                tracing::warn!(target: "poison", "poison: crash record {} skipped, malformed: {error}.", record.offset);
             }
         }
     }
-    node.poison.read_to(read.next);
+    node.poison.set_read_offset(read.next);
     Ok(())
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! What a router of the own interface knows of completions that crash engines: those
-//! suspected, those in quarantine, and what the log service is still to be told.
+//! State of a router on the own interface about completions that crash engines: suspected
+//! requests, quarantined requests, and records not yet appended to the log service.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,35 +16,36 @@
 use crate::clock;
 use crate::error::Error;
 
-/// Pause between reads of the stream.
-pub const EVERY: Duration = Duration::from_millis(500);
-/// Time after a crash in which all routers have appended what they had there, and
-/// this one has read it.
-pub const TOLD: Duration = EVERY.saturating_add(SETTLE);
-/// Time after which an entry in force is appended anew: the log service keeps
-/// its records for a limited time.
-const RENEWED: Duration = Duration::from_secs(900);
-/// Records that wait for the log service at most.
-const WAITING: usize = 256;
-
-/// A record of the stream.
+/// Interval between reads of the `crashes` stream, in milliseconds.
+pub const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after a crash within which all routers have appended their reports of requests
+/// in flight at the crash, and this router has read them (one read interval plus the
+/// settling time).
+pub const REPORT_WINDOW: Duration = READ_INTERVAL.saturating_add(SETTLE);
+/// Seconds after which an entry in force is appended again, because the log service
+/// keeps its records for a limited time.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(900);
+/// Most records queued for the log service.
+const MAX_PENDING_RECORDS: usize = 256;
+
+/// A record of the `crashes` stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CrashRecord {
-    /// What a router had at an engine that crashed.
+    /// Requests of one router that were in flight at an engine when it crashed.
     Crash(Vec<CrashReport>),
-    /// A request that no router sends any more.
+    /// A request that no router sends to engines while the entry is in force.
     Quarantined(Quarantined),
 }
 
-/// A completion that an engine broke off.
+/// A completion whose stream or connection an engine broke.
 #[derive(Debug, Clone, Copy)]
-pub struct Broken {
+pub struct BrokenCompletion {
     /// The request.
     pub request: Fingerprint,
-    /// The router's id for it.
+    /// The router's id of the attempt.
     pub attempt: u64,
-    /// How long its answer had run, if that had begun.
+    /// Time since the engine accepted the request, if it had.
     pub ran: Option<Duration>,
 }
 
@@ -52,32 +53,32 @@
 struct State {
     suspects: Suspects,
     quarantine: Quarantine,
-    well: Recent,
-    /// Completions broken off, by engines not yet known to have crashed.
-    broken: HashMap<u64, Vec<Broken>>,
-    /// When entries were last read in the stream, or appended.
-    told: HashMap<Fingerprint, Duration>,
-    /// Records that the log service has not taken yet.
-    waiting: Vec<CrashRecord>,
-    /// Where to read on.
+    completed: Recent,
+    /// Broken completions by engine incarnation, for engines not yet checked for a crash.
+    broken: HashMap<u64, Vec<BrokenCompletion>>,
+    /// When each entry was last read from the stream or appended to it.
+    entry_times: HashMap<Fingerprint, Duration>,
+    /// Records not yet appended to the log service.
+    pending_records: Vec<CrashRecord>,
+    /// Offset to continue reading from.
     next: Offset,
 }
 
 impl Default for State {
     fn default() -> Self {
         Self {
-            suspects: Suspects::with_settle(TOLD),
+            suspects: Suspects::with_settle(REPORT_WINDOW),
             quarantine: Quarantine::default(),
-            well: Recent::default(),
+            completed: Recent::default(),
             broken: HashMap::new(),
-            told: HashMap::new(),
-            waiting: Vec::new(),
+            entry_times: HashMap::new(),
+            pending_records: Vec::new(),
             next: Offset::default(),
         }
     }
 }
 
-/// What a router knows of completions that crash engines.
+/// Suspected and quarantined completions, shared between the threads of a router.
 #[derive(Debug, Default)]
 pub struct Poison {
     state: Mutex<State>,
@@ -90,29 +91,29 @@
         self.read.load(Ordering::Acquire)
     }
 
-    /// `request` ran to its end.
-    pub fn ended_well(&self, request: Fingerprint) {
+    /// Records that `request` completed, which clears it of suspicion.
+    pub fn record_completed(&self, request: Fingerprint) {
         let mut state = self.state.lock().unwrap();
-        state.well.note(request, clock::now());
+        state.completed.note(request, clock::now());
         state.suspects.clear(request);
     }
 
-    /// Whether `request` was at a crash.
-    pub fn suspects(&self, request: Fingerprint) -> bool {
+    /// Whether `request` was in flight at a crash and is suspected.
+    pub fn is_suspect(&self, request: Fingerprint) -> bool {
         self.state.lock().unwrap().suspects.contains(request)
     }
 
-    /// Whether `request` is not sent for now: it was at enough crashes and all
-    /// routers are still to report on them, or was at one fewer and its last engine
-    /// is being looked at.
-    pub fn withholds(&self, request: Fingerprint) -> bool {
+    /// Whether `request` is withheld from engines for now: it was in flight at enough
+    /// crashes but the routers' reports on them are not all in, or it was in flight at
+    /// one fewer and an engine that broke it is being checked for a crash.
+    pub fn is_withheld(&self, request: Fingerprint) -> bool {
         let state = self.state.lock().unwrap();
         let broke = || state.broken.values().flatten().any(|b| b.request == request);
         state.suspects.withholds(request) || state.suspects.is_close(request) && broke()
     }
 
-    /// The error for `request`, if it is kept from engines.
-    pub fn refuses(&self, request: Fingerprint) -> Option<Error> {
+    /// The error to answer `request` with, if it is quarantined.
+    pub fn quarantine_error(&self, request: Fingerprint) -> Option<Error> {
         let state = self.state.lock().unwrap();
         let left = state.quarantine.refuses(request, clock::wall())?;
         Some(Error::Quarantined(request.to_string(), left))
@@ -123,58 +124,60 @@
         self.state.lock().unwrap().quarantine.entries().cloned().collect()
     }
 
-    /// Records that the engine life `key` broke off `request`; whether it is the first
-    /// since that was last looked at.
-    pub fn broke(&self, key: u64, request: Broken) -> bool {
+    /// Records that the engine incarnation `key` broke `request`. Returns whether it is
+    /// the first since that incarnation was last checked for a crash.
+    pub fn record_broken(&self, key: u64, request: BrokenCompletion) -> bool {
         let mut state = self.state.lock().unwrap();
         let broken = state.broken.entry(key).or_default();
         broken.push(request);
         broken.len() == 1
     }
 
-    /// Reports of what the engine life `key` broke off, which is looked at no more.
-    pub fn take_broken(&self, key: u64) -> Vec<CrashReport> {
+    /// Removes the completions that the engine incarnation `key` broke and returns them
+    /// as crash reports. The next one recorded starts a new check.
+    pub fn take_crash_reports(&self, key: u64) -> Vec<CrashReport> {
         let mut state = self.state.lock().unwrap();
         let broken = state.broken.remove(&key).unwrap_or_default();
         let (now, wall) = (clock::now(), clock::wall());
-        let report = |b: &Broken| CrashReport {
+        let report = |b: &BrokenCompletion| CrashReport {
             request: b.request,
             upstream: key,
             attempt: b.attempt,
             ran: b.ran,
-            well: state.well.age(b.request, now),
+            well: state.completed.age(b.request, now),
             at: wall,
         };
         broken.iter().map(report).collect()
     }
 
-    /// Has `record` told to the other routers.
+    /// Queues `record` to be appended to the stream, for the other routers.
     pub fn queue(&self, record: CrashRecord) {
         self.state.lock().unwrap().queue(record);
     }
 
-    /// What the log service is to be told.
-    pub fn take_waiting(&self) -> Vec<CrashRecord> {
-        std::mem::take(&mut self.state.lock().unwrap().waiting)
+    /// Takes the records queued for the log service.
+    pub fn take_pending_records(&self) -> Vec<CrashRecord> {
+        std::mem::take(&mut self.state.lock().unwrap().pending_records)
     }
 
-    /// Takes in an entry read in the stream.
+    /// Adds a quarantine entry read from the stream.
     pub fn admit(&self, entry: Quarantined) {
         self.state.lock().unwrap().admit(entry, "log");
     }
 
-    /// Where the stream is read on.
+    /// Offset to continue reading the stream from.
     pub fn next(&self) -> Offset {
         self.state.lock().unwrap().next
     }
 
-    /// The stream has been read up to `next`.
-    pub fn read_to(&self, next: Offset) {
+    /// Records that the stream has been read up to `next`.
+    pub fn set_read_offset(&self, next: Offset) {
         self.state.lock().unwrap().next = next;
         self.read.store(true, Ordering::Release);
     }
 
-    /// Takes in what another router, or this one, had at an engine.
+    /// Adds the crash reports of a router, this one or another. A report on a request in
+    /// quarantine only explains the crash.
     pub fn add(&self, reports: &[CrashReport]) {
         let mut state = self.state.lock().unwrap();
         let wall = clock::wall();
@@ -182,35 +185,37 @@
             let refused = state.quarantine.refuses(e.request, wall);
             match (refused, state.quarantine.again(e, wall)) {
                 (Some(_), _) => state.suspects.explain(&[e.upstream]),
-                (None, Some(entry)) => state.pass(entry),
+                (None, Some(entry)) => state.publish(entry),
                 (None, None) => state.suspects.add(e, clock::now()),
             }
         }
     }
 
-    /// Judges the suspects, and has entries that are still in force told anew.
+    /// Quarantines the suspects with enough evidence, queues entries in force for renewal
+    /// in the stream and drops expired ones.
     pub fn detect(&self) {
         let mut state = self.state.lock().unwrap();
         for (request, upstreams) in state.suspects.detect(clock::now()) {
-            state.pass(Quarantined::new(request, upstreams, clock::wall()));
+            state.publish(Quarantined::new(request, upstreams, clock::wall()));
         }
         let state = &mut *state;
-        let stale = state.told.iter().filter(|(_, at)| clock::now() >= **at + RENEWED);
+        let stale =
+            state.entry_times.iter().filter(|(_, at)| clock::now() >= **at + RENEWAL_INTERVAL);
         let stale: Vec<Fingerprint> = stale.map(|(request, _)| *request).collect();
         for entry in state.quarantine.entries().filter(|v| stale.contains(&v.request)) {
-            state.told.insert(entry.request, clock::now());
-            state.waiting.push(CrashRecord::Quarantined(entry.clone()));
+            state.entry_times.insert(entry.request, clock::now());
+            state.pending_records.push(CrashRecord::Quarantined(entry.clone()));
         }
         for request in state.quarantine.expire(clock::wall()) {
-            state.told.remove(&request);
-            tracing::info!(target: "poison", "poison: request {request} is no longer in quarantine.");
+            state.entry_times.remove(&request);
+            tracing::info!(target: "poison", "poison: quarantine of request {request} expired.");
         }
     }
 }
 
 impl State {
-    /// Takes in an entry of this router, and has it told.
-    fn pass(&mut self, entry: Quarantined) {
+    /// Adds an entry found by this router and queues it for the other routers.
+    fn publish(&mut self, entry: Quarantined) {
         self.admit(entry.clone(), "own");
         self.queue(CrashRecord::Quarantined(entry));
     }
@@ -219,18 +224,18 @@
         let (request, upstreams) = (entry.request, entry.upstreams.clone());
         let admission = self.quarantine.admit(entry, clock::wall());
         if admission != Admission::Over {
-            self.told.insert(request, clock::now());
+            self.entry_times.insert(request, clock::now());
         }
         if let Admission::New(_) = admission {
-            tracing::warn!(target: "poison", "poison: request {request} is quarantined ({source}): {} engines crashed under it.", upstreams.len());
+            tracing::warn!(target: "poison", "poison: request {request} quarantined (source: {source}): {} engines crashed while running it.", upstreams.len());
             self.suspects.clear(request);
             self.suspects.explain(&upstreams);
         }
     }
 
     fn queue(&mut self, record: CrashRecord) {
-        if self.waiting.len() < WAITING {
-            self.waiting.push(record);
+        if self.pending_records.len() < MAX_PENDING_RECORDS {
+            self.pending_records.push(record);
         }
     }
 }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -1,6 +1,6 @@
-//! The HTTP face of a node and its life from start to graceful stop.
+//! The HTTP interface of a node, and its start and graceful shutdown.
 //!
-//! - `POST /v1/completions`: a completion, streamed or whole.
+//! - `POST /v1/completions`: a completion, streamed or in one response.
 //! - `POST /v1/services/{name}`: a call to a plain service.
 //! - `GET /v1/route?dc=NAME`: which entry host a caller should use.
 //! - `GET /debug/state`: the node's state as JSON.
@@ -8,7 +8,7 @@
 //!
 //! On SIGTERM or SIGINT the node drains: `/v1/route` sends callers to other
 //! routers, new completions get 503 with `Retry-After`, requests in flight
-//! run to their end, and the server closes after the drain period.
+//! are completed, and the server stops after the drain period.
 
 mod complete;
 mod peers;
@@ -36,13 +36,13 @@
 
 type Shared = types::State<Arc<Node>>;
 
-/// Bytes a request body may carry beyond the prompt limit.
+/// Bytes that a request body may have beyond the prompt limit.
 const BODY_SLACK: usize = 64 << 10;
 
-/// Longest a drain waits for requests in flight after the drain period.
+/// Longest wait for requests in flight after the drain period, in seconds.
 const DRAIN_LIMIT: Duration = Duration::from_secs(30);
 
-/// Runs a node until it has drained after a signal.
+/// Runs a node until it has drained after SIGTERM or SIGINT.
 pub async fn run(settings: Settings) -> Result<(), Error> {
     let listen = settings.listen;
     let workers = settings.workers;
@@ -56,7 +56,7 @@
     ntex::rt::spawn(warm::start(node.clone()));
     ntex::rt::spawn(gossip::run(node.clone()));
     ntex::rt::spawn(duty::contend(node.clone()));
-    ntex::rt::spawn(duty::keep(node.clone()));
+    ntex::rt::spawn(duty::run_holder_tasks(node.clone()));
     ntex::rt::spawn(once::follow(node.clone()));
     ntex::rt::spawn(poison::follow(node.clone()));
     let shared = node.clone();
@@ -87,7 +87,7 @@
     let (Ok(mut term), Ok(mut int)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        tracing::warn!(target: "serve", "serve: cannot watch signals; stop will not drain.");
+        tracing::warn!(target: "serve", "serve: cannot install signal handlers; the node will not drain when stopped.");
         return;
     };
     tokio::select! {
@@ -96,7 +96,7 @@
     }
     node.draining.store(true, Ordering::Release);
     tracing::info!(target: "serve", "serve: draining for {:?}.", node.settings.drain);
-    gossip::declare(&node, Status::Draining).await;
+    gossip::announce_status(&node, Status::Draining).await;
     duty::release(&node).await;
     ntex::time::sleep(node.settings.drain).await;
     let deadline = Instant::now() + DRAIN_LIMIT;
--- a/crates/router/src/serve/complete.rs
+++ b/crates/router/src/serve/complete.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: a completion, streamed or whole.
+//! `POST /v1/completions`: a completion, streamed or in one response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,11 +13,11 @@
 
 use super::{Shared, reply_error};
 use crate::error::Error;
-use crate::forward::{self, Out};
+use crate::forward::{self, ChunkSink};
 use crate::job::Job;
 use crate::node::Node;
 
-/// Where completions are asked for.
+/// Path of completion requests; part of their fingerprint.
 const PATH: &str = "/v1/completions";
 
 type Sender = mpsc::Sender<Result<Bytes, std::io::Error>>;
@@ -63,26 +63,31 @@
     let fingerprint = Fingerprint::new(&[&workspace.to_string(), PATH], body);
     let mut job = Job::new(id, workspace, request, routing, node.settings.max_wait)
         .with_fingerprint(fingerprint);
-    let opened = forward::open(node, &mut job).await?;
+    let accepted = forward::open(node, &mut job).await?;
     match streamed {
         true => {
             let (tx, rx) = mpsc::channel(64);
-            ntex::rt::spawn(stream(node.clone(), job, opened, tx));
+            ntex::rt::spawn(stream(node.clone(), job, accepted, tx));
             Ok(HttpResponse::Ok().content_type("text/event-stream").streaming(rx))
         }
         false => {
-            let mut whole = Whole(String::new(), opened.engine.addr.clone());
-            let usage = forward::pump(node, &mut job, opened, &mut whole).await?;
+            let mut collected = CollectedAnswer(String::new(), accepted.engine.addr.clone());
+            let usage = forward::pump(node, &mut job, accepted, &mut collected).await?;
             node.counters.answered.fetch_add(1, Ordering::Relaxed);
-            Ok(HttpResponse::Ok().json(&Completion { id, text: whole.0, usage, engine: whole.1 }))
+            Ok(HttpResponse::Ok().json(&Completion {
+                id,
+                text: collected.0,
+                usage,
+                engine: collected.1,
+            }))
         }
     }
 }
 
-async fn stream(node: Arc<Node>, mut job: Job, opened: forward::Opened, tx: Sender) {
+async fn stream(node: Arc<Node>, mut job: Job, accepted: forward::AcceptedRequest, tx: Sender) {
     let mut out = Sse(tx);
     let id = job.id;
-    match forward::pump(&node, &mut job, opened, &mut out).await {
+    match forward::pump(&node, &mut job, accepted, &mut out).await {
         Ok(_) => {
             node.counters.answered.fetch_add(1, Ordering::Relaxed);
             let _ = out.0.send(Ok(Bytes::from_static(b"data: [DONE]\n\n"))).await;
@@ -96,30 +101,31 @@
     }
 }
 
-/// Server-sent events to the caller.
+/// Sends the chunks to the caller as server-sent events.
 struct Sse(Sender);
 
-impl Out for Sse {
+impl ChunkSink for Sse {
     async fn chunk(&mut self, chunk: &Chunk) -> bool {
         let line = format!("data: {}\n\n", serde_json::to_string(chunk).unwrap_or_default());
         self.0.send(Ok(Bytes::from(line))).await.is_ok()
     }
 
-    fn gone(&self) -> bool {
+    fn is_closed(&self) -> bool {
         self.0.is_closed()
     }
 }
 
-/// The whole answer, gathered, and the engine that first took it.
-struct Whole(String, String);
+/// Collects the answer's text; the second field is the engine that first accepted the
+/// request.
+struct CollectedAnswer(String, String);
 
-impl Out for Whole {
+impl ChunkSink for CollectedAnswer {
     async fn chunk(&mut self, chunk: &Chunk) -> bool {
         self.0.push_str(&chunk.text);
         true
     }
 
-    fn gone(&self) -> bool {
+    fn is_closed(&self) -> bool {
         false
     }
 }
--- a/crates/router/src/serve/peers.rs
+++ b/crates/router/src/serve/peers.rs
@@ -1,4 +1,4 @@
-//! Answers other routers' calls.
+//! Serves the calls of other routers.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::peer::wire::{self, Answer, Call};
 use crate::{gossip, link, warm};
 
-/// Answers other routers' calls on `listener` for ever.
+/// Serves the calls of other routers on `listener`, forever.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     link::serve(listener, move |bytes| {
         let answer = match wire::decode(bytes)? {
-            Call::Ping(news) => Answer::Pong(gossip::answer(&node, news)),
-            Call::Warm => Answer::Warmth(warm::offer(&node)),
+            Call::Ping(updates) => Answer::Pong(gossip::answer(&node, updates)),
+            Call::FetchState => Answer::RouterState(warm::current_state(&node)),
         };
         wire::encode(&answer)
     })
--- a/crates/router/src/serve/route.rs
+++ b/crates/router/src/serve/route.rs
@@ -10,7 +10,7 @@
 use super::{Shared, reply_error};
 use crate::error::Error;
 
-/// How long a draining router's route answers may be kept.
+/// How long callers may cache a draining router's route answers, in seconds.
 const DRAINING_TTL: Duration = Duration::from_secs(1);
 
 /// Query of `GET /v1/route`.
@@ -20,10 +20,10 @@
     caller: Option<String>,
 }
 
-/// Answers which router a caller should use: a live one in the caller's
-/// data centre if any, else any live one, spread by the caller's name. A
-/// draining router never names itself; with no router listed yet, a live
-/// router names itself.
+/// Returns the router that a caller should use: a usable one in the caller's data
+/// centre if there is one, else any usable one; callers are spread by a hash of their
+/// name. If no usable router is known, this router returns its own address, unless it
+/// is draining or not ready.
 pub async fn route(node: Shared, query: types::Query<RouteQuery>) -> HttpResponse {
     let draining = node.draining.load(Ordering::Acquire);
     let ttl = match draining {
@@ -32,17 +32,17 @@
     };
     let entries = node.entries.load();
     let me = &node.settings.advertise;
-    let usable: Vec<&HostEntry> = entries.iter().collect();
+    let candidates: Vec<&HostEntry> = entries.iter().collect();
     let local: Vec<&HostEntry> =
-        usable.iter().copied().filter(|r| Some(&r.dc) == query.dc.as_ref()).collect();
-    let from = if local.is_empty() { usable } else { local };
-    let spread = xxhash_rust::xxh3::xxh3_64(query.caller.as_deref().unwrap_or("").as_bytes());
+        candidates.iter().copied().filter(|r| Some(&r.dc) == query.dc.as_ref()).collect();
+    let from = if local.is_empty() { candidates } else { local };
+    let caller_hash = xxhash_rust::xxh3::xxh3_64(query.caller.as_deref().unwrap_or("").as_bytes());
     let (addr, dc) = match from.len() {
         0 if draining => return reply_error(&Error::Draining),
-        0 if !node.fit() => return reply_error(&Error::NotConfigured),
+        0 if !node.is_available() => return reply_error(&Error::NotConfigured),
         0 => (me.clone(), node.settings.dc.clone()),
         n => {
-            let router = from[(spread % n as u64) as usize];
+            let router = from[(caller_hash % n as u64) as usize];
             (router.addr.clone(), router.dc.clone())
         }
     };
--- a/crates/router/src/serve/state.rs
+++ b/crates/router/src/serve/state.rs
@@ -1,4 +1,4 @@
-//! `GET /debug/state` and `GET /healthz`: what the node is doing.
+//! `GET /debug/state` and `GET /healthz`: the node's state and health.
 
 use std::sync::atomic::Ordering;
 
@@ -18,9 +18,9 @@
                 "engine": e,
                 "inflight": node.inflight[index].load(Ordering::Relaxed),
                 "pending": node.pending(e.slot),
-                "others": node.others[index].load(Ordering::Relaxed),
+                "others": node.remote_load[index].load(Ordering::Relaxed),
                 "down": node.down[index].load(Ordering::Relaxed),
-                "life": node.picture.life(e.slot),
+                "life": node.cache_index.life(e.slot),
             })
         })
         .collect();
@@ -32,7 +32,7 @@
         "engines": engines,
         "routers": pool.routers,
         "services": pool.services,
-        "picture": node.picture.counts(),
+        "picture": node.cache_index.counts(),
         "counters": &node.counters,
         "claims": node.claims.lock().unwrap().len(),
         "quarantine": node.poison.entries(),
--- a/crates/router/src/warm.rs
+++ b/crates/router/src/warm.rs
@@ -1,23 +1,23 @@
-//! Starting without a cold start.
+//! Start-up: gathers the state that a router needs, to avoid a cold start.
 //!
-//! A router that starts knows nothing, and its host keeps nothing. Before it
-//! says it is ready it takes, in this order:
+//! A router starts with no state, and its host stores none. Before it reports that
+//! it is ready it reads, in this order:
 //!
 //! 1. the pool, from the host list;
-//! 2. from another router that is ready: its configuration (which stands in
-//!    while the log service is down) and its cache picture with the position
-//!    in each engine's events it was read up to;
+//! 2. from another router that is ready: its configuration (used while the log
+//!    service is down) and its cache index, with the position in each engine's events
+//!    up to which the index is current;
 //! 3. the configuration, from the log service (see `follow`);
-//! 4. one reading of every engine's events from that position on. When no
-//!    other router is ready, as after a herd restart, the engines' own
-//!    retained events are read from the beginning and rebuild the picture.
+//! 4. the events of every engine, once, from that position on. When no other
+//!    router is ready, as after a restart of all routers, the events that the engines
+//!    retain are read from the beginning to rebuild the index.
 //!
-//! 5. which requests no router sends any more, from the log service.
+//! 5. the requests in quarantine, from the log service.
 //!
 //! Until then `/healthz` answers 503 and other routers send it no callers.
-//! The cache picture and those requests wait [`LIMIT`] at most: a router is worth more cold
-//! than absent. The configuration has no limit: without it no request can
-//! be routed, and requests are refused as not run.
+//! It waits [`STATE_TIMEOUT`] at most for the cache index and the quarantine, because a router
+//! without them is more useful than none. There is no limit on the wait for the
+//! configuration: without it no request can be routed, and requests are refused as not run.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -33,50 +33,51 @@
 use crate::gossip;
 use crate::node::{Engine, Node};
 use crate::peer;
-use crate::peer::wire::{Answer, Call, Warmth, WireEngine};
+use crate::peer::wire::{Answer, Call, RouterState, WireEngine};
 
-/// Longest wait for the pool and the cache picture.
-pub const LIMIT: Duration = Duration::from_secs(3);
-/// Longest wait for one other router's answer.
-const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// Other routers asked before giving up on them.
-const ASKED: usize = 3;
-/// Pause between looks at what is still missing.
-const STEP: Duration = Duration::from_millis(20);
+/// Longest wait for the pool and, counted from the same start, for the cache index and
+/// the quarantine, in seconds.
+pub const STATE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time-out of another router's answer, in seconds.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Most other routers asked for their state.
+const MAX_ROUTERS_ASKED: usize = 3;
+/// Interval between checks whether the awaited state is complete, in milliseconds.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Warms the node up, follows the engines, and declares the node ready.
+/// Gathers the node's state, starts to follow the engines, and announces the node as ready.
 pub async fn start(node: Arc<Node>) {
     let begun = Instant::now();
-    wait_until(begun + LIMIT, || !node.pool.load().engines.is_empty()).await;
-    let source = ask(&node).await;
+    wait_until(begun + STATE_TIMEOUT, || !node.pool.load().engines.is_empty()).await;
+    let source = fetch_state(&node).await;
     ntex::rt::spawn(follow::engines(node.clone()));
     while !node.configured.load(Ordering::Acquire) {
-        ntex::time::sleep(STEP).await;
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
-    wait_until(begun + LIMIT, || read_once(&node) && node.poison.is_read()).await;
+    wait_until(begun + STATE_TIMEOUT, || all_engines_read(&node) && node.poison.is_read()).await;
     node.ready.store(true, Ordering::Release);
     if !node.draining.load(Ordering::Acquire) {
-        gossip::declare(&node, Status::Ready).await;
+        gossip::announce_status(&node, Status::Ready).await;
     }
     tracing::info!(
         target: "warm",
-        "warm: ready after {:?}, picture of {} entries from {}.",
+        "warm: ready after {:?}, cache index of {} entries from {}.",
         begun.elapsed(),
-        node.picture.counts().entries,
+        node.cache_index.counts().entries,
         source.as_deref().unwrap_or("the engines"),
     );
 }
 
-/// What this node can tell a starting one.
-pub fn offer(node: &Node) -> Warmth {
+/// This node's state for a router that starts; empty unless this node is ready.
+pub fn current_state(node: &Node) -> RouterState {
     if !node.ready.load(Ordering::Acquire) {
-        return Warmth::default();
+        return RouterState::default();
     }
     let cursors = node.cursors.lock().unwrap().clone();
     let pool = node.pool.load();
     let engines = pool.engines.iter().filter_map(|engine| {
         let Cursor { life, next } = cursors.get(&engine.slot).copied()?;
-        let blocks = node.picture.held(engine.slot).into_iter().map(|b| b.0).collect();
+        let blocks = node.cache_index.held(engine.slot).into_iter().map(|b| b.0).collect();
         Some(WireEngine {
             addr: engine.addr.clone(),
             incarnation: life.incarnation.0,
@@ -86,52 +87,55 @@
         })
     });
     let active = node.active.load();
-    Warmth {
+    RouterState {
         config: serde_json::to_vec(&*active.config).unwrap_or_default(),
         engines: engines.collect(),
     }
 }
 
-/// Asks other routers in turn; the one that had something to tell.
-async fn ask(node: &Node) -> Option<String> {
+/// Asks other routers in turn for their state and applies the first that is not empty;
+/// returns that router's address.
+async fn fetch_state(node: &Node) -> Option<String> {
     let me = &node.settings.advertise;
     let mut others: Vec<String> =
         node.pool.load().routers.iter().map(|r| r.addr.clone()).filter(|a| a != me).collect();
     others.shuffle(&mut rand::rng());
-    for addr in others.into_iter().take(ASKED) {
-        match peer::call(node, &addr, &Call::Warm, CALL_LIMIT).await {
-            Ok(Answer::Warmth(warmth)) if !warmth.config.is_empty() => {
-                take(node, &addr, warmth);
+    for addr in others.into_iter().take(MAX_ROUTERS_ASKED) {
+        match peer::call(node, &addr, &Call::FetchState, CALL_TIMEOUT).await {
+            Ok(Answer::RouterState(state)) if !state.config.is_empty() => {
+                apply_state(node, &addr, state);
                 return Some(addr);
             }
-            Ok(_) => tracing::debug!(target: "warm", "warm: router {addr} is not warm itself."),
+            Ok(_) => {
+                tracing::debug!(target: "warm", "warm: router {addr} is not ready and sent no state.")
+            }
             Err(error) => tracing::info!(target: "warm", "warm: {error}."),
         }
     }
     None
 }
 
-fn take(node: &Node, addr: &str, warmth: Warmth) {
-    match serde_json::from_slice::<Config>(&warmth.config) {
-        Ok(config) => *node.offered.lock().unwrap() = Some(config),
+fn apply_state(node: &Node, addr: &str, state: RouterState) {
+    match serde_json::from_slice::<Config>(&state.config) {
+        Ok(config) => *node.offered_config.lock().unwrap() = Some(config),
         Err(error) => {
-            tracing::warn!(target: "warm", "warm: configuration from {addr} unreadable: {error}.");
+            tracing::warn!(target: "warm", "warm: configuration from router {addr} cannot be parsed: {error}.");
         }
     }
     let pool = node.pool.load();
-    for told in &warmth.engines {
-        let Some(engine) = pool.engines.iter().find(|e| e.addr == told.addr) else {
+    for received in &state.engines {
+        let Some(engine) = pool.engines.iter().find(|e| e.addr == received.addr) else {
             continue;
         };
-        let (incarnation, version, blocks) = told.entries();
+        let (incarnation, version, blocks) = received.entries();
         let life = Life { incarnation, version };
-        node.picture.stored(engine.slot, life, &blocks);
-        node.cursors.lock().unwrap().insert(engine.slot, Cursor { life, next: told.next });
+        node.cache_index.stored(engine.slot, life, &blocks);
+        node.cursors.lock().unwrap().insert(engine.slot, Cursor { life, next: received.next });
     }
 }
 
-/// Whether every engine has been read, or found unreachable, once.
-fn read_once(node: &Node) -> bool {
+/// Whether the events of every engine have been read once, or the engine is unreachable.
+fn all_engines_read(node: &Node) -> bool {
     let pool = node.pool.load();
     let cursors = node.cursors.lock().unwrap();
     let read = |e: &Engine| cursors.contains_key(&e.slot) || node.is_down(e.slot);
@@ -140,6 +144,6 @@
 
 async fn wait_until(deadline: Instant, done: impl Fn() -> bool) {
     while !done() && Instant::now() < deadline {
-        ntex::time::sleep(STEP).await;
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
 }
