--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -108,8 +108,8 @@
     /// one fewer and an engine that broke it is being checked for a crash.
     pub fn is_withheld(&self, request: Fingerprint) -> bool {
         let state = self.state.lock().unwrap();
-        let broke = || state.broken.values().flatten().any(|b| b.request == request);
-        state.suspects.withholds(request) || state.suspects.is_close(request) && broke()
+        let is_being_checked = || state.broken.values().flatten().any(|b| b.request == request);
+        state.suspects.withholds(request) || state.suspects.is_close(request) && is_being_checked()
     }
 
     /// The error to answer `request` with, if it is quarantined.
