--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -1,28 +1,29 @@
-//! Which engine a prompt is read by.
+//! Chooses the engine that prefills and answers a prompt.
 //!
-//! Load pattern: prompts whose first parts are shared by many requests, a
-//! few of them very hot, over engines that each hold some ten of these parts
-//! and lose all of them whenever new weights come into use. Reading a shared
-//! part anew takes an engine hundreds of milliseconds, copying it from
-//! another engine tens, finding it in place none; waiting behind other
-//! prompts costs what they take to be read.
+//! Load pattern: many requests share the first parts of their prompts, and a
+//! few of these parts are very hot. Each engine caches some ten of them and
+//! loses all of them whenever new weights are activated. Prefilling a shared
+//! part again takes an engine hundreds of milliseconds, copying it from
+//! another engine takes tens, and a cache hit takes none; waiting behind other
+//! prompts takes as long as their prefill.
 //!
-//! Each chain of shared parts has a home among the engines on the same weights:
-//! the one that ranks first for it by hashing. The whole chain is ranked, since
-//! few outermost parts may be shared by many chains. All hosts compute the same
-//! ranks, so they agree on homes without messages, at any number of engines,
-//! and an engine that leaves moves only its own parts. A part that no engine
-//! keeps is read at its home; later it is found or copied where it is.
+//! Each prefix path (the sequence of shared parts of a prompt) has a preferred
+//! engine among those on the same weights: the first by rendezvous hashing. The
+//! whole path is hashed, since many paths may share a few outermost parts. All
+//! hosts compute the same ranks, so they agree on preferred engines without
+//! messages, at any number of engines, and an engine that leaves moves only its
+//! own parts. A part that no engine has cached is prefilled at its preferred
+//! engine; later requests find it there or copy it from there.
 //!
-//! Engines are compared by what an answer from them is expected to be worth
-//! to the caller, between 0 and 1: less the likelier it comes late, less on
-//! weights that have been replaced, less by the work that reading shared
-//! parts once more takes from other prompts.
+//! Engines are compared by the expected value of their answer to the caller,
+//! between 0 and 1. The value falls with the probability that the answer is
+//! late, on weights that have been replaced, and with the work that repeated
+//! prefill of shared parts takes from other prompts.
 //!
-//! Where there are many hosts, each learns of the others' loads late, and all
-//! hosts send to the engine that looks best until they do. There each request
-//! is compared over a few engines drawn for it by hashing, beside those that
-//! keep its parts or are home to them.
+//! With many hosts, each host learns of the others' loads late, and until then
+//! all hosts would send to the engine that looks least loaded. There, each
+//! request is compared over a few engines sampled for it by hashing, in
+//! addition to those that have its parts cached or are preferred for them.
 
 mod lane;
 mod worth;
@@ -35,38 +36,38 @@
 use crate::holdings;
 use crate::policy::PolicyName;
 pub use lane::{FRESH_HOSTS, draw, lane};
-use worth::judge;
+use worth::score;
 
-/// How long replaced weights are as good as the newest.
+/// Time after their replacement during which weights count as current.
 const WEIGHTS_GRACE: Duration = Duration::from_millis(1_200);
 
-/// What a prompt needs.
+/// Resources that a prompt needs, and its latency target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Need {
     /// Prompt tokens.
     pub input: u64,
-    /// Those in parts that other requests share.
+    /// Prompt tokens in parts that other requests share.
     pub shared: u64,
-    /// Maximum tokens to be written.
+    /// Maximum tokens to generate.
     pub output: u64,
-    /// Milliseconds within which an answer is on time.
+    /// Latency target in milliseconds; an answer that takes longer is late.
     pub target: f64,
 }
 
-/// How long an engine's weights have been replaced by newer ones.
+/// How far an engine's weights are behind the newest version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightsAge {
-    /// Not at all, or so shortly that they are as good.
+    /// They are the newest, or were replaced within the last 1,200 ms.
     Good,
-    /// For a while.
+    /// They were replaced, and are still within the time limit for old weights.
     Old,
-    /// For longer than they are to be in use.
+    /// They were replaced and are past that time limit.
     Overdue,
 }
 
 impl WeightsAge {
-    /// The age of weights that were replaced `replaced` ago and are to be out
-    /// of use after `bound`.
+    /// The age of weights that were replaced `replaced` ago and must not be
+    /// used for longer than `bound` after that.
     pub fn new(replaced: Duration, bound: Duration) -> Self {
         match replaced {
             age if age <= WEIGHTS_GRACE => Self::Good,
@@ -76,21 +77,22 @@
     }
 }
 
-/// Shared parts that can be copied instead of read.
+/// Shared parts that can be copied from another cache instead of prefilled.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Copying {
-    /// Shared tokens that the source keeps.
+    /// Shared tokens that the source has cached.
     pub held: u64,
     /// Milliseconds to copy one token.
     pub token_ms: f64,
 }
 
-/// An engine that may read it.
+/// An engine that the prompt may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Rank by hash for the prompt's chain of shared parts; the highest is home.
+    /// Rendezvous-hash rank for the prompt's prefix path; the highest one in
+    /// the partition is the preferred engine.
     pub rank: u64,
-    /// Prompt tokens sent there by all hosts and not yet read.
+    /// Prompt tokens sent there by all hosts and not yet prefilled.
     pub unread: u64,
     /// Requests that were sent there and have not ended.
     pub running: u32,
@@ -100,55 +102,58 @@
     pub memory: u64,
     /// Tokens it has memory for.
     pub capacity: u64,
-    /// Prompt tokens it reads in a millisecond.
+    /// Prefill throughput, in prompt tokens per millisecond.
     pub pace: f64,
-    /// Shared tokens it keeps.
+    /// Shared tokens of this prompt that it has cached.
     pub held: u64,
-    /// What it can copy from elsewhere.
+    /// Parts that it can copy from another cache.
     pub copy: Option<Copying>,
-    /// Share of its answers that were failures.
+    /// Share of its answers that were failures, from 0 to 1.
     pub failures: f64,
     /// It is in another data centre than this host.
     pub far: bool,
     /// Version of the weights it serves.
     pub weights: u64,
-    /// How long those have been replaced.
+    /// How far those are behind the newest version.
     pub age: WeightsAge,
-    /// It is one of those that prompts of this size go to first.
+    /// It is in the pool partition for prompts of this size.
     pub lane: bool,
-    /// It is one of those that this request is compared over.
+    /// It is in the sample of engines that this request is compared over.
     pub drawn: bool,
 }
 
-/// Where a prompt goes.
+/// The engine chosen for a prompt, and what is expected there.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
-    /// Index of the engine.
+    /// Index of the engine among the candidates.
     pub engine: usize,
-    /// Shared parts are to be copied.
+    /// Whether shared parts are copied from another cache first.
     pub copies: bool,
-    /// Milliseconds expected until the prompt is read.
+    /// Milliseconds expected until the prompt is prefilled.
     pub wait: f64,
-    /// Prompt tokens expected to be read rather than found or copied.
+    /// Prompt tokens expected to be prefilled rather than found in the cache or
+    /// copied.
     pub unread: u64,
 }
 
-/// Prompt tokens from which a prompt is large: reading it takes an engine
-/// more than one step, and each of those steps holds up all that it runs.
+/// Prompt tokens from which a prompt is large: its prefill takes an engine more
+/// than one step, and each of these steps delays all its running requests.
 pub const LARGE: u64 = 2_048;
 
-/// Unread tokens at an engine behind which a large prompt is not sent: about
-/// the time that a small one may wait and still be on time.
-const MAX_UNREAD: u64 = 8_000;
+/// Tokens queued for prefill at an engine above which no large prompt is sent
+/// there: they take about the time that a small prompt can wait and still be on
+/// time.
+const MAX_QUEUED_TOKENS: u64 = 8_000;
 
-/// A large prompt waits at the router for at most one part in so many of the
-/// caller's time.
-const WAIT_SHARE: u32 = 4;
+/// Divisor of the caller's time limit: a large prompt waits at the router for at
+/// most that fraction of it.
+const MAX_WAIT_DIVISOR: u32 = 4;
 
-/// Whether a prompt of `input` tokens, held for `held` of the `limit` that its
-/// caller waits, is to wait at the router since `unread` tokens are queued
-/// before it at the engine chosen. An engine accepts all it is sent and reads it in
-/// turn, so what waits there also delays the small prompts that come after.
+/// Whether a prompt of `input` tokens has to wait at the router because
+/// `unread` tokens are queued ahead of it at the chosen engine. It has already
+/// waited for `held` of the `limit` that its caller allows. An engine accepts
+/// everything it is sent and prefills it in order, so a large prompt queued
+/// there also delays the small prompts that arrive after it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -159,10 +164,10 @@
 /// assert!(!waits(300, 30_000, Duration::ZERO, limit));
 /// ```
 pub fn waits(input: u64, unread: u64, held: Duration, limit: Duration) -> bool {
-    input >= LARGE && unread > MAX_UNREAD && held < limit / WAIT_SHARE
+    input >= LARGE && unread > MAX_QUEUED_TOKENS && held < limit / MAX_WAIT_DIVISOR
 }
 
-/// The rank of the engine with `key` for the chain of shared parts `chain`.
+/// Rendezvous-hash rank of the engine with `key` for the prefix path `chain`.
 pub fn rank(chain: u64, key: u64) -> u64 {
     let mut hash = Xxh3Default::new();
     hash.write_u64(chain);
@@ -170,32 +175,34 @@
     hash.finish()
 }
 
-/// The engine for a prompt by the policy `name`; `turn` counts the choices.
-/// Under every policy engines on overdue weights come last, and shared parts
-/// are copied where that is quicker, so results compare the choice alone.
+/// Chooses the engine for a prompt by the policy `name`; `turn` is a counter of
+/// the choices made. Every policy uses engines on overdue weights only when
+/// there are no others, and copies shared parts where that is quicker, so a
+/// comparison of policies measures the choice of the engine alone.
 pub fn place_by(
     name: PolicyName,
     need: Need,
     candidates: &[Candidate],
     turn: u64,
 ) -> Option<Choice> {
-    let fresh = candidates.iter().any(|c| c.age != WeightsAge::Overdue);
-    let open: Vec<usize> = (0..candidates.len())
-        .filter(|&i| !fresh || candidates[i].age != WeightsAge::Overdue)
+    let any_in_time = candidates.iter().any(|c| c.age != WeightsAge::Overdue);
+    let eligible: Vec<usize> = (0..candidates.len())
+        .filter(|&i| !any_in_time || candidates[i].age != WeightsAge::Overdue)
         .collect();
     let index = match name {
         PolicyName::PrefixAware => return place(need, candidates),
-        PolicyName::RoundRobin => *open.get(turn as usize % open.len().max(1))?,
+        PolicyName::RoundRobin => *eligible.get(turn as usize % eligible.len().max(1))?,
         PolicyName::LeastLoad => {
-            open.into_iter().min_by_key(|&i| (candidates[i].running, candidates[i].unread))?
+            eligible.into_iter().min_by_key(|&i| (candidates[i].running, candidates[i].unread))?
         }
-        PolicyName::Maglev => open.into_iter().max_by_key(|&i| candidates[i].rank)?,
+        PolicyName::Maglev => eligible.into_iter().max_by_key(|&i| candidates[i].rank)?,
     };
-    let home = home(candidates, candidates[index].weights) == Some(index);
-    Some(judge(need, &candidates[index], index, home).1)
+    let preferred = home(candidates, candidates[index].weights) == Some(index);
+    Some(score(need, &candidates[index], index, preferred).1)
 }
 
-/// The engine for a prompt that needs `need`; `None` without candidates.
+/// Chooses the engine with the highest expected value for a prompt that needs
+/// `need`; `None` without candidates.
 ///
 /// ```
 /// use marjoram_core::place::{Candidate, Copying, Need, WeightsAge, place};
@@ -219,37 +226,42 @@
 /// let home = Candidate { rank: 9, ..idle };
 /// let need = Need { input: 17_000, shared: 13_000, output: 30, target: 800.0 };
 /// assert_eq!(place(need, &[idle, home]).unwrap().engine, 1);
-/// // Behind a long queue where they are kept, the parts are copied elsewhere.
+/// // The engine that caches the parts has a long queue: they are copied to the idle one.
 /// let busy = Candidate { unread: 50_000, held: 13_000, ..home };
 /// let copy = Some(Copying { held: 13_000, token_ms: 0.002 });
 /// let choice = place(need, &[Candidate { copy, ..idle }, busy]).unwrap();
 /// assert_eq!((choice.engine, choice.copies), (0, true));
 /// ```
 pub fn place(need: Need, candidates: &[Candidate]) -> Option<Choice> {
-    let homes = homes(candidates);
-    let judged = candidates.iter().enumerate().filter_map(|(index, c)| {
-        let home = homes.iter().any(|(_, home)| *home == index);
-        let sought = need.shared >= holdings::LARGE && (home || c.held > 0);
-        (c.drawn || sought).then(|| judge(need, c, index, home))
+    let preferred_engines = preferred_engines(candidates);
+    let scored = candidates.iter().enumerate().filter_map(|(index, c)| {
+        let preferred = preferred_engines.iter().any(|(_, engine)| *engine == index);
+        let may_have_parts = need.shared >= holdings::LARGE && (preferred || c.held > 0);
+        (c.drawn || may_have_parts).then(|| score(need, c, index, preferred))
     });
-    judged.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, choice)| choice)
+    scored.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, choice)| choice)
 }
 
-/// Which of `candidates` on `weights` is home to the prompt's chain.
+/// Index of the preferred engine for the prompt's prefix path among the
+/// `candidates` on the version `weights`.
 pub fn home(candidates: &[Candidate], weights: u64) -> Option<usize> {
-    homes(candidates).into_iter().find(|(version, _)| *version == weights).map(|(_, home)| home)
+    preferred_engines(candidates)
+        .into_iter()
+        .find(|(version, _)| *version == weights)
+        .map(|(_, engine)| engine)
 }
 
-/// For each version of the weights, the engine that is home to the part: one
-/// in the lane of the prompt. There are few versions at a time.
-fn homes(candidates: &[Candidate]) -> Vec<(u64, usize)> {
-    let mut homes: Vec<(u64, usize)> = Vec::new();
+/// The preferred engine for each version of the weights: the highest rank in
+/// the prompt's pool partition. Few versions are in use at a time, so a list is
+/// searched.
+fn preferred_engines(candidates: &[Candidate]) -> Vec<(u64, usize)> {
+    let mut preferred: Vec<(u64, usize)> = Vec::new();
     for (index, c) in candidates.iter().enumerate().filter(|(_, c)| c.lane) {
-        match homes.iter_mut().find(|(weights, _)| *weights == c.weights) {
-            Some((_, home)) if c.rank > candidates[*home].rank => *home = index,
+        match preferred.iter_mut().find(|(weights, _)| *weights == c.weights) {
+            Some((_, engine)) if c.rank > candidates[*engine].rank => *engine = index,
             Some(_) => {}
-            None => homes.push((c.weights, index)),
+            None => preferred.push((c.weights, index)),
         }
     }
-    homes
+    preferred
 }
--- a/crates/core/src/place/lane.rs
+++ b/crates/core/src/place/lane.rs
@@ -1,20 +1,22 @@
-//! Which engines a prompt goes to first, and which it is compared over.
+//! Partitions an engine pool by prompt size, and samples the engines that a
+//! request is compared over.
 
 use super::rank;
 
-/// Hosts up to which each sends its loads to all others in one turn, often
-/// enough to compare all engines.
+/// Number of hosts up to which each host reports its loads to all others in a
+/// single round. Loads are then recent enough to compare all engines.
 pub const FRESH_HOSTS: usize = 17;
 
-/// Engines drawn in each lane where there are more hosts: many hosts that
-/// compare the same engines would all send to the best one.
-const SAMPLE_SIZE: usize = 2;
+/// Engines sampled inside the partition, and as many outside it, where there are
+/// more hosts: many hosts that compare the same engines would all send to the
+/// best one.
+const SAMPLE_PER_PARTITION: usize = 2;
 
-/// Which of `places`, the engines' places in the ranks, are the lane of
-/// prompts of a size: a share of the engines takes the small ones, so that
-/// their many short answers are not held up by the reading of large prompts.
-/// The lanes are a preference: an engine outside is taken when it is worth
-/// more.
+/// Which of the engines, given by their positions in the hash order `places`,
+/// form the pool partition for prompts of a size (`large` or small). The share
+/// `small_share` of the engines takes the small prompts, so that their many
+/// short answers are not delayed by the prefill of large ones. The partitions
+/// are a preference: an engine outside is chosen when its score is higher.
 ///
 /// ```
 /// use marjoram_core::place::lane;
@@ -26,13 +28,14 @@
     let mut order: Vec<usize> = (0..places.len()).collect();
     order.sort_by_key(|&i| places[i]);
     let small = (places.len() as f64 * small_share).floor() as usize;
-    let mut lane = vec![large; places.len()];
-    order.into_iter().take(small).for_each(|i| lane[i] = !large);
-    lane
+    let mut partition = vec![large; places.len()];
+    order.into_iter().take(small).for_each(|i| partition[i] = !large);
+    partition
 }
 
-/// Which engines a request with the key `request` is compared over, at
-/// `hosts` hosts: a few of those in its lane and a few others.
+/// Which engines a request with the key `request` is compared over when there
+/// are `hosts` hosts: all of them at up to [`FRESH_HOSTS`], else a few of its
+/// partition (`lanes`) and a few others.
 ///
 /// ```
 /// use marjoram_core::place::draw;
@@ -46,14 +49,14 @@
     if hosts <= FRESH_HOSTS {
         return vec![true; places.len()];
     }
-    let mut drawn = vec![false; places.len()];
-    for lane in [true, false] {
+    let mut sampled = vec![false; places.len()];
+    for inside in [true, false] {
         let mut order: Vec<(u64, usize)> = (0..places.len())
-            .filter(|&i| lanes[i] == lane)
+            .filter(|&i| lanes[i] == inside)
             .map(|i| (rank(request, places[i]), i))
             .collect();
         order.sort_unstable();
-        order.into_iter().take(SAMPLE_SIZE).for_each(|(_, i)| drawn[i] = true);
+        order.into_iter().take(SAMPLE_PER_PARTITION).for_each(|(_, i)| sampled[i] = true);
     }
-    drawn
+    sampled
 }
--- a/crates/core/src/place/worth.rs
+++ b/crates/core/src/place/worth.rs
@@ -1,105 +1,108 @@
-//! What an answer from an engine is expected to be worth to the caller: each
-//! cost is a type with its unit, and [`judge`] sums them.
+//! Scores an engine by the expected value of its answer to the caller, where 1
+//! is an answer in time at no cost. Each cost has a type with its unit, and
+//! [`score`] combines them.
 
 use super::{Candidate, Choice, LARGE, Need, WeightsAge};
 
-/// Milliseconds until a prompt is read, of the target time for its first event.
+/// Time until a prompt is prefilled, and the target time for its first event,
+/// both in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Wait {
     ms: f64,
     target: f64,
 }
 
-/// Worth lost by an answer that comes late.
-const LATE_LOSS: f64 = 0.7;
+/// Share of its value that a late answer loses.
+const LATE_COST: f64 = 0.7;
 
-/// The wait, as a share of the target time, at which half of the answers are
-/// late: the first event needs several steps after the prompt is read, and
-/// other hosts' requests are known with a delay.
+/// Wait, as a share of the target time, at which half of the answers are late:
+/// the first event needs several steps after the prefill, and other hosts'
+/// requests become known with a delay.
 const LATE_MIDPOINT: f64 = 0.5;
 
-/// Width of the logistic curve around that wait.
+/// Width of the logistic curve around that wait, as a share of the target time.
 const LATE_WIDTH: f64 = 0.12;
 
-/// Worth lost by waiting for the whole target time, late or not: of two
-/// engines that would both be on time the quicker is taken.
-const WAIT_LOSS: f64 = 0.2;
+/// Value lost by waiting for the whole target time, late or not, so that the
+/// quicker of two engines that would both be on time is chosen.
+const FULL_WAIT_COST: f64 = 0.2;
 
 impl Wait {
-    /// Share of the answers after such a wait that come late.
-    fn late(self) -> f64 {
+    /// Share of the answers that are late after this wait.
+    fn late_share(self) -> f64 {
         1.0 / (1.0 + ((LATE_MIDPOINT - self.ms / self.target) / LATE_WIDTH).exp())
     }
 
-    /// What is left of an answer's worth.
-    fn worth(self) -> f64 {
-        1.0 - LATE_LOSS * self.late()
+    /// Value that an answer keeps, given the probability that it is late.
+    fn value(self) -> f64 {
+        1.0 - LATE_COST * self.late_share()
     }
 
-    /// Worth lost by waiting, late or not.
-    fn loss(self) -> f64 {
-        WAIT_LOSS * self.ms / self.target
+    /// Value lost by waiting, late or not.
+    fn cost(self) -> f64 {
+        FULL_WAIT_COST * self.ms / self.target
     }
 }
 
-/// Tokens that running requests take of an engine's memory.
+/// Tokens of an engine's memory that running requests occupy.
 #[derive(Debug, Clone, Copy)]
 struct Memory {
-    taken: u64,
+    used: u64,
     capacity: u64,
 }
 
-/// Worth lost where the memory would be overfull by as much as it holds:
-/// running requests are interrupted and read again.
-const OVERFULL_LOSS: f64 = 4.0;
+/// Value lost when requests exceed the planned share by the whole memory of the
+/// engine: running requests are then preempted and prefilled again.
+const OVERCOMMIT_COST: f64 = 4.0;
 
-/// Share of an engine's memory that is planned to be used by running
-/// requests; caches need the rest.
-const MEMORY_SHARE: f64 = 0.8;
+/// Share of an engine's memory planned for running requests; caches need the
+/// rest.
+const PLANNED_MEMORY_SHARE: f64 = 0.8;
 
 impl Memory {
-    /// Worth lost by interrupting others.
-    fn loss(self) -> f64 {
-        let share = self.taken as f64 / (self.capacity as f64).max(1.0);
-        OVERFULL_LOSS * (share - MEMORY_SHARE).max(0.0)
+    /// Value lost by preempting other requests.
+    fn cost(self) -> f64 {
+        let share = self.used as f64 / (self.capacity as f64).max(1.0);
+        OVERCOMMIT_COST * (share - PLANNED_MEMORY_SHARE).max(0.0)
     }
 }
 
-/// How the shared parts of a prompt come to an engine.
+/// How an engine gets the shared parts of a prompt.
 #[derive(Debug, Clone, Copy)]
 struct Shared {
-    /// Tokens to be read.
+    /// Tokens to prefill.
     read: u64,
-    /// Of these, what some engine has read before.
+    /// Those of them that some engine has prefilled before.
     again: u64,
-    /// The others are copied.
+    /// Whether the other missing tokens are copied.
     copies: bool,
-    /// Milliseconds for all.
+    /// Milliseconds for copy and prefill together.
     ms: f64,
 }
 
-/// Worth lost by reading shared parts again, were they the whole of a large
-/// prompt: those of small ones are read within a few milliseconds.
-const AGAIN_LOSS: f64 = 1.0;
+/// Value lost by prefilling a whole prompt of at least [`LARGE`] tokens again.
+/// Smaller ones lose in proportion to [`LARGE`], since their shared parts are
+/// prefilled within a few milliseconds.
+const REPEATED_PREFILL_COST: f64 = 1.0;
 
-/// Fixed milliseconds of a copy between engines.
-const COPY_MS: f64 = 6.0;
+/// Fixed cost of a copy between engines, in milliseconds.
+const COPY_OVERHEAD_MS: f64 = 6.0;
 
-/// Part of the target time by which a copy may take longer than reading: it
-/// does not slow down what runs on the engine.
+/// Share of the target time by which a copy may take longer than the prefill:
+/// a copy does not slow down the requests that run on the engine.
 const COPY_ALLOWANCE: f64 = 0.02;
 
 impl Shared {
-    fn new(need: Need, c: &Candidate, pace: f64, home: bool) -> Self {
+    fn new(need: Need, c: &Candidate, pace: f64, preferred: bool) -> Self {
         let missing = need.shared.saturating_sub(c.held);
         let copied = c.copy.map_or(0, |copy| copy.held.saturating_sub(c.held).min(missing));
-        let copy_ms = c.copy.map_or(0.0, |copy| copied as f64 * copy.token_ms + COPY_MS);
+        let copy_ms = c.copy.map_or(0.0, |copy| copied as f64 * copy.token_ms + COPY_OVERHEAD_MS);
         let copies = copied > 0 && copy_ms < copied as f64 / pace + COPY_ALLOWANCE * need.target;
         let read = if copies { missing - copied } else { missing };
-        // At home only what is known to be kept elsewhere is read again: the
-        // rest is read for the first time, where others will look for it, or
-        // is there.
-        let again = match home {
+        // At the preferred engine, only tokens known to be cached elsewhere count
+        // as prefilled again: the rest is either cached there already, or is
+        // prefilled for the first time where later requests will look for it.
+        let again = match preferred {
             true if copies => 0,
             true => copied,
             false => read,
@@ -108,73 +111,76 @@
         Self { read, again, copies, ms }
     }
 
-    /// Worth lost by work that is taken from other prompts.
-    fn loss(self, need: Need) -> f64 {
-        AGAIN_LOSS * self.again as f64 / need.input.max(LARGE) as f64
+    /// Value lost by the work that repeated prefill takes from other prompts.
+    fn cost(self, need: Need) -> f64 {
+        REPEATED_PREFILL_COST * self.again as f64 / need.input.max(LARGE) as f64
     }
 }
 
-/// Worth lost by a small prompt outside its lane, and by a large one in the
-/// lane of the small ones: while it is read, each step takes as long as a
-/// piece of it, and a small answer needs several steps before its first event.
-const LANE_LOSS: f64 = 0.2;
-const LARGE_LANE_LOSS: f64 = 0.5;
+/// Value lost by a small prompt outside its pool partition.
+const PARTITION_COST: f64 = 0.2;
+/// Value lost by a large prompt in the partition of small ones: during its
+/// prefill each step takes as long as a chunk of it, and a small answer needs
+/// several steps before its first event.
+const LARGE_PARTITION_COST: f64 = 0.5;
 
-/// Worth lost by a prompt of `input` tokens outside its lane.
-fn lane_loss(own: bool, input: u64) -> f64 {
-    match own {
+/// Value lost by a prompt of `input` tokens outside its partition.
+fn partition_cost(inside: bool, input: u64) -> f64 {
+    match inside {
         true => 0.0,
-        false if input >= LARGE => LARGE_LANE_LOSS,
-        false => LANE_LOSS,
+        false if input >= LARGE => LARGE_PARTITION_COST,
+        false => PARTITION_COST,
     }
 }
 
-/// Worth of an answer on replaced weights, and on ones past their bound.
-const OLD_WORTH: f64 = 0.8;
-const OVERDUE_WORTH: f64 = 0.1;
+/// Value of an answer on replaced weights.
+const OLD_VALUE: f64 = 0.8;
+/// Value of an answer on replaced weights that are past their time limit.
+const OVERDUE_VALUE: f64 = 0.1;
 
 impl WeightsAge {
-    /// What an answer on weights of this age is worth.
-    fn worth(self) -> f64 {
+    /// Value of an answer on weights of this age.
+    fn value(self) -> f64 {
         match self {
             Self::Good => 1.0,
-            Self::Old => OLD_WORTH,
-            Self::Overdue => OVERDUE_WORTH,
+            Self::Old => OLD_VALUE,
+            Self::Overdue => OVERDUE_VALUE,
         }
     }
 }
 
-/// Milliseconds added by each request that runs beside it.
+/// Milliseconds that each other running request adds to a wait.
 const RUNNING_MS: f64 = 1.0;
 
-/// Milliseconds that a request keeps its slot while an engine is full: one
-/// that finds all slots taken waits for as many to end as are queued before it.
-const SLOT_MS: f64 = 150.0;
+/// Milliseconds that a request occupies its slot while an engine is full: a
+/// request that finds all slots taken waits until as many requests have ended as
+/// are queued ahead of it.
+const SLOT_TIME_MS: f64 = 150.0;
 
 /// Milliseconds that the requests running at an engine add to a wait.
 fn running_ms(c: &Candidate) -> f64 {
     let before = f64::from((c.running + 1).saturating_sub(c.slots));
-    f64::from(c.running) * RUNNING_MS + before * SLOT_MS / f64::from(c.slots.max(1))
+    f64::from(c.running) * RUNNING_MS + before * SLOT_TIME_MS / f64::from(c.slots.max(1))
 }
 
-/// Worth lost by sending to another data centre: latency and bytes.
-const FAR_LOSS: f64 = 0.005;
+/// Value lost by sending to another data centre: latency and traffic.
+const REMOTE_COST: f64 = 0.005;
 
-/// What an answer from the engine `c`, home to the prompt or not, is expected
-/// to be worth, and what choosing it means.
-pub(super) fn judge(need: Need, c: &Candidate, index: usize, home: bool) -> (f64, Choice) {
+/// Expected value of an answer from the engine `c`, and the choice that it
+/// stands for. `preferred` is whether it is the prompt's preferred engine.
+pub(super) fn score(need: Need, c: &Candidate, index: usize, preferred: bool) -> (f64, Choice) {
     let pace = c.pace.max(f64::MIN_POSITIVE);
-    let shared = Shared::new(need, c, pace, home);
+    let shared = Shared::new(need, c, pace, preferred);
     let own = need.input.saturating_sub(need.shared);
     let ms = (c.unread + own) as f64 / pace + shared.ms + running_ms(c);
     let wait = Wait { ms, target: need.target };
-    let memory = Memory { taken: c.memory + need.input + need.output, capacity: c.capacity };
-    let worth = c.age.worth() * wait.worth() * (1.0 - c.failures)
-        - wait.loss()
-        - shared.loss(need)
-        - memory.loss()
-        - lane_loss(c.lane, need.input)
-        - if c.far { FAR_LOSS } else { 0.0 };
+    let memory = Memory { used: c.memory + need.input + need.output, capacity: c.capacity };
+    let value = c.age.value() * wait.value() * (1.0 - c.failures)
+        - wait.cost()
+        - shared.cost(need)
+        - memory.cost()
+        - partition_cost(c.lane, need.input)
+        - if c.far { REMOTE_COST } else { 0.0 };
     let unread = own + shared.read;
-    (worth, Choice { engine: index, copies: shared.copies, wait: ms, unread })
+    (value, Choice { engine: index, copies: shared.copies, wait: ms, unread })
 }
