--- a/crates/core/src/holdings.rs
+++ b/crates/core/src/holdings.rs
@@ -101,12 +101,12 @@
 pub struct Holdings {
     epoch: Option<u64>,
     next: u64,
-    kept: HashMap<(CacheId, PartId), Kept>,
+    entries: HashMap<(CacheId, PartId), PartEntry>,
 }
 
 /// Index entry of one part.
 #[derive(Debug, Clone, Copy, Default)]
-struct Kept {
+struct PartEntry {
     /// Tokens of the part that are cached; 0 once it was evicted.
     tokens: u64,
     /// Number of the event that reported this.
@@ -126,12 +126,12 @@
 
     /// Number of entries, including evicted parts that are not yet removed.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.entries.len()
     }
 
     /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.entries.is_empty()
     }
 
     /// Applies events read from the cache. Returns whether its epoch changed.
@@ -140,7 +140,7 @@
         self.next = page.next;
         for event in &page.events {
             match event.tokens {
-                0 => drop(self.kept.remove(&(event.cache, event.part))),
+                0 => drop(self.entries.remove(&(event.cache, event.part))),
                 _ => self.put(event),
             }
         }
@@ -168,7 +168,8 @@
     /// assert_eq!(holdings.large(&dropped), [event(4, 7, 0)]);
     /// ```
     pub fn large(&self, page: &Page) -> Vec<Event> {
-        let before = |e: &Event| self.kept.get(&(e.cache, e.part)).map_or(0, |k| k.tokens);
+        let before =
+            |e: &Event| self.entries.get(&(e.cache, e.part)).map_or(0, |entry| entry.tokens);
         let large = |e: &&Event| e.tokens >= LARGE || before(e) >= LARGE;
         page.events.iter().filter(large).copied().collect()
     }
@@ -190,18 +191,18 @@
     /// ```
     pub fn hear(&mut self, epoch: u64, event: &Event) {
         self.set_epoch(epoch);
-        if self.kept.len() >= MAX_ENTRIES {
-            self.kept.retain(|_, kept| kept.tokens > 0);
+        if self.entries.len() >= MAX_ENTRIES {
+            self.entries.retain(|_, entry| entry.tokens > 0);
         }
-        let known = self.kept.get(&(event.cache, event.part));
+        let known = self.entries.get(&(event.cache, event.part));
         if known.is_none_or(|known| event.number > known.number) {
             self.put(event);
         }
     }
 
     fn put(&mut self, event: &Event) {
-        let kept = Kept { tokens: event.tokens, number: event.number };
-        self.kept.insert((event.cache, event.part), kept);
+        let entry = PartEntry { tokens: event.tokens, number: event.number };
+        self.entries.insert((event.cache, event.part), entry);
     }
 
     /// Clears the index if `epoch` is another epoch of the cache. Returns whether
@@ -209,7 +210,7 @@
     fn set_epoch(&mut self, epoch: u64) -> bool {
         let new_epoch = self.epoch.is_some_and(|known| known != epoch);
         if new_epoch {
-            self.kept.clear();
+            self.entries.clear();
         }
         self.epoch = Some(epoch);
         new_epoch
@@ -217,7 +218,7 @@
 
     /// Removes all entries: the engine has activated other weights.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.entries.clear();
     }
 
     /// Number of leading tokens of `parts` that are cached in `cache`.
@@ -246,13 +247,16 @@
         parts: &[Part],
         known_cached: impl Fn(&Part) -> bool,
     ) -> u64 {
-        let kept = |part: &Part| match known_cached(part) {
+        let cached = |part: &Part| match known_cached(part) {
             true => part.tokens,
-            false => self.kept.get(&(cache, part.id)).map_or(0, |k| k.tokens.min(part.tokens)),
+            false => {
+                self.entries.get(&(cache, part.id)).map_or(0, |entry| entry.tokens.min(part.tokens))
+            }
         };
-        let last_whole = parts.iter().rposition(|p| kept(p) + BLOCK_SLACK >= p.tokens);
+        let last_whole = parts.iter().rposition(|p| cached(p) + BLOCK_SLACK >= p.tokens);
         let (before, after) = parts.split_at(last_whole.map_or(0, |last| last + 1));
-        let assumed = |part: &Part| Some(kept(part)).filter(|k| *k > 0).unwrap_or(part.tokens);
-        before.iter().map(assumed).sum::<u64>() + after.first().map_or(0, kept)
+        let assumed =
+            |part: &Part| Some(cached(part)).filter(|tokens| *tokens > 0).unwrap_or(part.tokens);
+        before.iter().map(assumed).sum::<u64>() + after.first().map_or(0, cached)
     }
 }
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -25,8 +25,8 @@
 //! request is compared over a few engines sampled for it by hashing, in
 //! addition to those that have its parts cached or are preferred for them.
 
-mod lane;
-mod worth;
+mod partition;
+mod score;
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -35,8 +35,8 @@
 
 use crate::holdings;
 use crate::policy::PolicyName;
-pub use lane::{FRESH_HOSTS, draw, lane};
-use worth::score;
+pub use partition::{FRESH_HOSTS, draw, lane};
+use score::score;
 
 /// Time after their replacement during which weights count as current.
 const WEIGHTS_GRACE: Duration = Duration::from_millis(1_200);
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -191,7 +191,7 @@
     /// Positions of the last entries of upstreams that left, and when they left.
     left: HashMap<UpstreamId, ((Born, u64), Duration)>,
     /// When the store last became available again.
-    returned: Option<Duration>,
+    recovered_at: Option<Duration>,
 }
 
 impl Registry {
@@ -252,7 +252,7 @@
     /// removed, or kept as missing for up to [`RETURN_TIME`] after an outage of
     /// the store unless it was leaving.
     pub fn unlist(&mut self, id: &UpstreamId, now: Duration) -> Change {
-        let grace = self.returned.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+        let grace = self.recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
         match (self.entries.get(id), grace) {
             (None, _) => Change::None,
             (Some(entry), Some(until)) if !entry.leaving => {
@@ -265,7 +265,7 @@
 
     /// Records that the store became available again at `now`.
     pub fn returned(&mut self, now: Duration) {
-        self.returned = Some(now);
+        self.recovered_at = Some(now);
     }
 
     /// Unlists the upstreams that are not in `ids`, the full list read at `now`.
