--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -57,7 +57,8 @@
 /// How far an engine's weights are behind the newest version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightsAge {
-    /// They are the newest, or were replaced within the last 1,200 ms.
+    /// They are the newest, or were replaced so recently that they count as
+    /// current.
     Good,
     /// They were replaced, and are still within the time limit for old weights.
     Old,
--- a/crates/core/src/place/score.rs
+++ b/crates/core/src/place/score.rs
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Shared {
     /// Tokens to prefill.
-    read: u64,
+    prefill_tokens: u64,
     /// Those of them that some engine has prefilled before.
     repeated: u64,
     /// Whether the other missing tokens are copied.
@@ -98,17 +98,17 @@
         let copied = c.copy.map_or(0, |copy| copy.held.saturating_sub(c.held).min(missing));
         let copy_ms = c.copy.map_or(0.0, |copy| copied as f64 * copy.token_ms + COPY_OVERHEAD_MS);
         let copies = copied > 0 && copy_ms < copied as f64 / pace + COPY_ALLOWANCE * need.target;
-        let read = if copies { missing - copied } else { missing };
+        let prefill_tokens = if copies { missing - copied } else { missing };
         // At the preferred engine, only tokens known to be cached elsewhere count
         // as prefilled again: the rest is either cached there already, or is
         // prefilled for the first time where later requests will look for it.
         let repeated = match preferred {
             true if copies => 0,
             true => copied,
-            false => read,
+            false => prefill_tokens,
         };
-        let ms = read as f64 / pace + if copies { copy_ms } else { 0.0 };
-        Self { read, repeated, copies, ms }
+        let ms = prefill_tokens as f64 / pace + if copies { copy_ms } else { 0.0 };
+        Self { prefill_tokens, repeated, copies, ms }
     }
 
     /// Value lost by the work that repeated prefill takes from other prompts.
@@ -117,7 +117,8 @@
     }
 }
 
-/// Value lost by a small prompt outside its pool partition.
+/// Value lost by a small prompt outside its pool partition, where its steps are
+/// delayed by the prefill of large prompts.
 const PARTITION_COST: f64 = 0.2;
 /// Value lost by a large prompt in the partition of small ones: during its
 /// prefill each step takes as long as a chunk of it, and a small answer needs
@@ -166,13 +167,13 @@
 /// Value lost by sending to another data centre: latency and traffic.
 const REMOTE_COST: f64 = 0.005;
 
-/// Expected value of an answer from the engine `c`, and the choice that it
-/// stands for. `preferred` is whether it is the prompt's preferred engine.
+/// Expected value of an answer from the engine `c`, and the choice of that
+/// engine. `preferred` is whether it is the prompt's preferred engine.
 pub(super) fn score(need: Need, c: &Candidate, index: usize, preferred: bool) -> (f64, Choice) {
     let pace = c.pace.max(f64::MIN_POSITIVE);
     let shared = Shared::new(need, c, pace, preferred);
-    let own = need.input.saturating_sub(need.shared);
-    let ms = (c.unread + own) as f64 / pace + shared.ms + running_ms(c);
+    let unshared = need.input.saturating_sub(need.shared);
+    let ms = (c.unread + unshared) as f64 / pace + shared.ms + running_ms(c);
     let wait = Wait { ms, target: need.target };
     let memory = Memory { used: c.memory + need.input + need.output, capacity: c.capacity };
     let value = c.age.value() * wait.value() * (1.0 - c.failures)
@@ -181,6 +182,6 @@
         - memory.cost()
         - partition_cost(c.lane, need.input)
         - if c.far { REMOTE_COST } else { 0.0 };
-    let unread = own + shared.read;
+    let unread = unshared + shared.prefill_tokens;
     (value, Choice { engine: index, copies: shared.copies, wait: ms, unread })
 }
--- a/crates/core/src/policy/maglev.rs
+++ b/crates/core/src/policy/maglev.rs
@@ -49,7 +49,7 @@
         keys.sort_unstable();
         keys.dedup();
         let size = TABLE_SIZE as u64;
-        let walks: Vec<(u64, u64)> = keys
+        let permutations: Vec<(u64, u64)> = keys
             .iter()
             .map(|key| {
                 let bytes = key.to_le_bytes();
@@ -62,7 +62,7 @@
         let mut entries = vec![u16::MAX; TABLE_SIZE];
         let mut filled = 0;
         while filled < TABLE_SIZE {
-            for (index, (offset, skip)) in walks.iter().enumerate() {
+            for (index, (offset, skip)) in permutations.iter().enumerate() {
                 let mut slot = ((offset + next[index] * skip) % size) as usize;
                 while entries[slot] != u16::MAX {
                     next[index] += 1;
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -5,7 +5,7 @@
 //! leave one host within seconds and saturate its link, and its calls to the
 //! platform's store time out along with everything else.
 //!
-//! Limits: with more than [`DIRECT`] hosts, a message is sent to as many relays
+//! Limits: with more than [`MAX_DIRECT_HOSTS`] hosts, a message is sent to as many relays
 //! as the square root of their number, and each relay forwards it to its slice
 //! of the hosts, so no host sends more than [`fan_out`] datagrams for a message.
 //! A slice is described by a seed rather than by its members: when sender and
@@ -18,7 +18,7 @@
 use crate::place;
 
 /// Number of hosts up to which a message is sent to each host directly.
-pub const DIRECT: usize = 16;
+pub const MAX_DIRECT_HOSTS: usize = 16;
 
 /// A subset of the hosts, chosen by hash: every host that knows the same hosts
 /// computes the same subset.
@@ -74,7 +74,7 @@
 /// ```
 pub fn fan_out(hosts: usize) -> usize {
     match hosts {
-        few if few <= DIRECT => few,
+        few if few <= MAX_DIRECT_HOSTS => few,
         many => (many as f64).sqrt().ceil() as usize,
     }
 }
@@ -94,7 +94,7 @@
 /// assert!(legs.iter().all(|leg| hosts[leg.to].heard));
 /// ```
 pub fn plan(hosts: &[Host], seed: u64) -> Vec<Datagram> {
-    if hosts.len() <= DIRECT {
+    if hosts.len() <= MAX_DIRECT_HOSTS {
         return (0..hosts.len()).map(|to| Datagram { to, slice: None }).collect();
     }
     let count = fan_out(hosts.len()) as u32;
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Time for which the position of an upstream's last entry is remembered after
+/// Time for which the sort key of an upstream's last entry is remembered after
 /// it left, so that entries which arrive late are recognized as old.
 const LEFT_TTL: Duration = Duration::from_secs(60);
 
@@ -188,7 +188,7 @@
     entries: HashMap<UpstreamId, Entry>,
     /// Entries lost during an outage of the store, and until when they are kept.
     missing: HashMap<UpstreamId, Duration>,
-    /// Positions of the last entries of upstreams that left, and when they left.
+    /// Sort keys of the last entries of upstreams that left, and when they left.
     left: HashMap<UpstreamId, ((Born, u64), Duration)>,
     /// When the store last became available again.
     recovered_at: Option<Duration>,
