--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -26,7 +26,7 @@
 //! addition to those that have its parts cached or are preferred for them.
 
 mod partition;
-mod score;
+mod worth;
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 use crate::holdings;
 use crate::policy::PolicyName;
 pub use partition::{FRESH_HOSTS, draw, lane};
-use score::score;
+use worth::score;
 
 /// Time after their replacement during which weights count as current.
 const WEIGHTS_GRACE: Duration = Duration::from_millis(1_200);
