--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: whether to accept a request, or retry one, under load.
 //!
-//! - [`Pace`]: the time an engine takes per prompt token queued ahead of a
+//! - [`PrefillTime`]: the time an engine takes per prompt token queued ahead of a
 //!   request, learned from the arrival times of first tokens. It converts the
 //!   work queued at an engine into an expected wait.
 //! - [`Budget`]: how many retries are allowed, as a fraction of the first
@@ -20,17 +20,17 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::admission::Pace;
+/// use marjoram_core::admission::PrefillTime;
 /// use marjoram_core::ids::Tokens;
-/// let pace = Pace::new();
+/// let pace = PrefillTime::new();
 /// assert_eq!(pace.wait(Tokens(1000)), None);
 /// pace.observe(Tokens(1000), Duration::from_millis(40));
 /// assert_eq!(pace.wait(Tokens(2000)), Some(Duration::from_millis(80)));
 /// ```
 #[derive(Debug, Default)]
-pub struct Pace(AtomicU64);
+pub struct PrefillTime(AtomicU64);
 
-impl Pace {
+impl PrefillTime {
     /// Creates an estimate without samples.
     pub fn new() -> Self {
         Self::default()
--- a/crates/core/src/health.rs
+++ b/crates/core/src/health.rs
@@ -24,7 +24,7 @@
 
 /// Time without data, while requests are pending, after which an upstream counts
 /// as unresponsive: several times the duration of one step of a full batch.
-pub const SILENCE: Duration = Duration::from_millis(500);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Health state of one upstream as one host observes it.
 ///
@@ -81,7 +81,7 @@
 
     /// Records that the upstream refuses requests for now: it gets none for
     /// `length`.
-    pub fn refuses(&mut self, now: Duration, length: Duration) {
+    pub fn pause_for(&mut self, now: Duration, length: Duration) {
         if !self.is_paused(now) {
             self.pause = Some((now + length, length.min(INITIAL_BACKOFF)));
             self.paused_unreachable = false;
@@ -89,7 +89,7 @@
     }
 
     /// Whether the upstream is paused at `now` because it could not be reached.
-    pub fn is_lost(&self, now: Duration) -> bool {
+    pub fn is_unreachable(&self, now: Duration) -> bool {
         self.paused_unreachable && self.is_paused(now)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Records that a request starts waiting for data from the upstream.
-    pub fn wait(&mut self, now: Duration) {
+    pub fn begin_wait(&mut self, now: Duration) {
         if self.waiting == 0 {
             self.last_progress = now;
         }
@@ -107,7 +107,7 @@
     }
 
     /// Records that a request stops waiting for data from the upstream.
-    pub fn unwait(&mut self) {
+    pub fn end_wait(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Records that data arrived from the upstream; ends any pause.
-    pub fn alive(&mut self, now: Duration) {
+    pub fn record_activity(&mut self, now: Duration) {
         self.last_progress = now;
         self.last_received = Some(now);
         self.pause = None;
@@ -125,7 +125,7 @@
 
     /// How long the pending requests have been without data; zero if none is
     /// pending.
-    pub fn silent(&self, now: Duration) -> Duration {
+    pub fn stalled_for(&self, now: Duration) -> Duration {
         match self.waiting {
             0 => Duration::ZERO,
             _ => now.saturating_sub(self.last_progress),
@@ -133,7 +133,7 @@
     }
 
     /// Records a response that was complete (`ok`) or failed.
-    pub fn answered(&mut self, ok: bool) {
+    pub fn record_response(&mut self, ok: bool) {
         let failure = if ok { 0.0 } else { 1.0 };
         self.failure_rate += FAILURE_WEIGHT * (failure - self.failure_rate);
     }
@@ -144,7 +144,7 @@
     }
 
     /// Records the response time of one request.
-    pub fn took(&mut self, took: Duration) {
+    pub fn record_latency(&mut self, took: Duration) {
         let ms = took.as_secs_f64() * 1e3;
         let average = self.latency_ms.unwrap_or(ms);
         self.latency_ms = Some(average + SAMPLE_WEIGHT * (ms - average));
@@ -157,7 +157,7 @@
 
     /// Records that a prompt of `tokens` tokens was prefilled in `took`,
     /// including the time spent queued behind other prompts.
-    pub fn read(&mut self, tokens: u64, took: Duration) {
+    pub fn record_prefill(&mut self, tokens: u64, took: Duration) {
         let throughput = tokens as f64 / (took.as_secs_f64() * 1e3).max(1.0);
         let average = self.prefill_throughput.unwrap_or(throughput);
         self.prefill_throughput = Some(average + SAMPLE_WEIGHT * (throughput - average));
@@ -165,7 +165,7 @@
 
     /// Moving average of the prefill throughput, in prompt tokens per
     /// millisecond.
-    pub fn pace(&self) -> Option<f64> {
+    pub fn prefill_throughput(&self) -> Option<f64> {
         self.prefill_throughput
     }
 }
--- a/crates/core/src/host.rs
+++ b/crates/core/src/host.rs
@@ -43,7 +43,7 @@
     pub retry_slack: f64,
     /// Minimum time between the orders of two successive leaders of weights
     /// rollouts.
-    pub lease: Duration,
+    pub min_handover_interval: Duration,
     /// How long a newly announced weights version may take to come into use.
     pub weights: Duration,
     /// How long a caller may keep an address response.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -51,7 +51,7 @@
 //!   restored from a copy), and fencing tokens across them.
 //! - [`relay`]: how far a host has read a log that a few hosts read on behalf of
 //!   all.
-//! - [`soundness`]: when the platform's store was available.
+//! - [`store_availability`]: when the platform's store was available.
 //! - [`stop`]: which requests are still accepted during shutdown.
 //! - [`switches`]: turns individual mechanisms of the routing decisions off.
 //! - [`events`]: splits a stream of server-sent events into complete events.
@@ -88,9 +88,9 @@
 pub mod quota;
 pub mod relay;
 pub mod rollout;
-pub mod soundness;
 pub mod spread;
 pub mod stop;
+pub mod store_availability;
 pub mod switches;
 pub mod tenure;
 pub mod upstream;
--- a/crates/core/src/measure.rs
+++ b/crates/core/src/measure.rs
@@ -94,12 +94,12 @@
 /// When each block was last computed by any engine, to detect wasted
 /// recomputation.
 #[derive(Debug)]
-pub struct Seen {
+pub struct RecentBlocks {
     horizon: Duration,
     last_computed: HashMap<BlockHash, Instant>,
 }
 
-impl Seen {
+impl RecentBlocks {
     /// Blocks are assumed to be cached for `horizon` after they were last
     /// computed.
     pub fn new(horizon: Duration) -> Self {
@@ -112,8 +112,8 @@
     /// ```
     /// use std::time::{Duration, Instant};
     /// use marjoram_core::ids::BlockHash;
-    /// use marjoram_core::measure::Seen;
-    /// let mut seen = Seen::new(Duration::from_secs(10));
+    /// use marjoram_core::measure::RecentBlocks;
+    /// let mut seen = RecentBlocks::new(Duration::from_secs(10));
     /// let blocks = [BlockHash(1), BlockHash(2)];
     /// let now = Instant::now();
     /// assert_eq!(seen.finished(&blocks, 0, now), 0);
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -84,7 +84,7 @@
 /// let mut a = Members::new("a", Incarnation(1));
 /// let mut b = Members::new("b", Incarnation(2));
 /// b.set_status(Status::Draining);
-/// let (ping, pong) = (a.news(), b.news());
+/// let (ping, pong) = (a.outgoing_updates(), b.outgoing_updates());
 /// a.merge(&pong);
 /// b.merge(&ping);
 /// assert_eq!(a.status("b"), Some(Status::Draining));
@@ -131,7 +131,7 @@
 
     /// Entries to send with the next ping or reply: this router's own first, then
     /// the most recently changed ones. Counts them as sent.
-    pub fn news(&mut self) -> Vec<Member> {
+    pub fn outgoing_updates(&mut self) -> Vec<Member> {
         let mut pending: Vec<&mut Entry> =
             self.others.values_mut().filter(|e| e.retransmits > 0).collect();
         pending.sort_by_key(|e| std::cmp::Reverse(e.retransmits));
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -33,10 +33,10 @@
 const DATAGRAM_HEADERS: usize = 28;
 
 /// Maximum number of concurrent calls to engines.
-pub const CALLS: usize = 64;
+pub const MAX_CONCURRENT_CALLS: usize = 64;
 
 /// Minimum interval between two polls of an engine that is changing its weights.
-pub const QUESTION: Duration = Duration::from_millis(150);
+pub const MIN_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Link speed, in megabits per second.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -90,40 +90,40 @@
     /// use std::time::Duration;
     /// use marjoram_core::pace::LinkSpeed;
     /// let ms = Duration::from_millis;
-    /// assert_eq!(LinkSpeed(10.0).question_pause(3), ms(150));
-    /// assert_eq!(LinkSpeed(10.0).question_pause(450), ms(800));
+    /// assert_eq!(LinkSpeed(10.0).poll_interval(3), ms(150));
+    /// assert_eq!(LinkSpeed(10.0).poll_interval(450), ms(800));
     /// ```
-    pub fn question_pause(self, changing: usize) -> Duration {
+    pub fn poll_interval(self, changing: usize) -> Duration {
         let rate = self.calls() * POLL_SHARE;
-        QUESTION.max(Duration::from_secs_f64(changing as f64 / rate))
+        MIN_POLL_INTERVAL.max(Duration::from_secs_f64(changing as f64 / rate))
     }
 }
 
-/// Rate limiter for calls to engines: allows a burst of [`CALLS`] calls, then the
+/// Rate limiter for calls to engines: allows a burst of [`MAX_CONCURRENT_CALLS`] calls, then the
 /// rate that the link allows.
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::pace::{CALLS, Calls, LinkSpeed};
+/// use marjoram_core::pace::{MAX_CONCURRENT_CALLS, CallLimiter, LinkSpeed};
 /// let (link, now) = (LinkSpeed(10.0), Duration::from_secs(1));
-/// let mut calls = Calls::default();
-/// let waits: Vec<Duration> = (0..CALLS + 2).map(|_| calls.wait(link, now)).collect();
+/// let mut calls = CallLimiter::default();
+/// let waits: Vec<Duration> = (0..MAX_CONCURRENT_CALLS + 2).map(|_| calls.wait(link, now)).collect();
 /// // A burst of as many as may run concurrently, then the rate that the link
 /// // allows.
-/// assert_eq!(waits[CALLS - 1], Duration::ZERO);
-/// assert_eq!(waits[CALLS + 1].as_micros(), 2_666);
+/// assert_eq!(waits[MAX_CONCURRENT_CALLS - 1], Duration::ZERO);
+/// assert_eq!(waits[MAX_CONCURRENT_CALLS + 1].as_micros(), 2_666);
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Calls {
+pub struct CallLimiter {
     /// When the calls admitted so far will have used up their share of the link.
     busy_until: Duration,
 }
 
-impl Calls {
+impl CallLimiter {
     /// How long a call that is ready at `now` has to wait.
     pub fn wait(&mut self, link: LinkSpeed, now: Duration) -> Duration {
         let interval = Duration::from_secs_f64(1.0 / link.calls());
         self.busy_until = self.busy_until.max(now) + interval;
-        self.busy_until.saturating_sub(now + interval * CALLS as u32)
+        self.busy_until.saturating_sub(now + interval * MAX_CONCURRENT_CALLS as u32)
     }
 }
--- a/crates/core/src/plain.rs
+++ b/crates/core/src/plain.rs
@@ -20,7 +20,7 @@
 
 /// A candidate upstream for a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Plain {
+pub struct PlainUpstream {
     /// Requests running there, from all hosts.
     pub running: u32,
     /// Number of requests that it runs concurrently.
@@ -45,20 +45,20 @@
 /// Selects the upstream with the lowest cost; `None` if there are no candidates.
 ///
 /// ```
-/// use marjoram_core::plain::{Plain, place};
-/// let near = Plain { running: 0, slots: 6, latency: None, failures: 0.0, far: false };
-/// let far = Plain { far: true, ..near };
-/// assert_eq!(place(&[far, near]).unwrap().upstream, 1);
-/// let full = Plain { running: 9, ..near };
-/// assert_eq!(place(&[far, full]).unwrap().upstream, 0);
+/// use marjoram_core::plain::{PlainUpstream, select};
+/// let near = PlainUpstream { running: 0, slots: 6, latency: None, failures: 0.0, far: false };
+/// let far = PlainUpstream { far: true, ..near };
+/// assert_eq!(select(&[far, near]).unwrap().upstream, 1);
+/// let full = PlainUpstream { running: 9, ..near };
+/// assert_eq!(select(&[far, full]).unwrap().upstream, 0);
 /// ```
-pub fn place(upstreams: &[Plain]) -> Option<PlainChoice> {
-    let wait = |p: &Plain| {
+pub fn select(upstreams: &[PlainUpstream]) -> Option<PlainChoice> {
+    let wait = |p: &PlainUpstream| {
         let slots = f64::from(p.slots.max(1));
         let load = (f64::from(p.running + 1) / slots).max(1.0);
         p.latency.unwrap_or(DEFAULT_LATENCY_MS) * load
     };
-    let cost = |p: &Plain| {
+    let cost = |p: &PlainUpstream| {
         let utilisation = f64::from(p.running) / f64::from(p.slots.max(1));
         let crossing = if p.far { CROSS_DC_MS } else { 0.0 };
         wait(p) * (1.0 + utilisation.min(1.0) * 0.5) * (1.0 + FAILURE_COST * p.failures) + crossing
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -30,7 +30,7 @@
 
 /// How relayed records relate to what a host has already read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Advance {
     /// The host has already read all of them, or they are of an earlier era.
     Old,
     /// Records before them are missing, or they are of a later era.
@@ -48,16 +48,16 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::era::Era;
-/// use marjoram_core::relay::{Position, Span, Taken};
+/// use marjoram_core::relay::{Position, Span, Advance};
 /// let secs = Duration::from_secs;
 /// let span = |era, from, next| Span { era: Era(era), from, next };
 /// let mut position = Position::new(Era(1), 40, secs(1));
-/// let taken = position.take(span(1, 30, 50), secs(2));
-/// assert_eq!((taken, position.at()), (Taken::New { after: 40 }, 50));
-/// assert_eq!(position.take(span(1, 30, 45), secs(3)), Taken::Old);
-/// assert_eq!(position.take(span(1, 51, 60), secs(3)), Taken::Gap);
-/// assert_eq!(position.take(span(0, 45, 60), secs(3)), Taken::Old);
-/// assert_eq!(position.take(span(2, 45, 60), secs(3)), Taken::Gap);
+/// let taken = position.advance(span(1, 30, 50), secs(2));
+/// assert_eq!((taken, position.at()), (Advance::New { after: 40 }, 50));
+/// assert_eq!(position.advance(span(1, 30, 45), secs(3)), Advance::Old);
+/// assert_eq!(position.advance(span(1, 51, 60), secs(3)), Advance::Gap);
+/// assert_eq!(position.advance(span(0, 45, 60), secs(3)), Advance::Old);
+/// assert_eq!(position.advance(span(2, 45, 60), secs(3)), Advance::Gap);
 /// assert_eq!(position.due(secs(1)), secs(3));
 /// ```
 #[derive(Debug, Clone, Copy)]
@@ -76,16 +76,16 @@
 
     /// Records that another host, which sent its read request at `asked`, has
     /// read `span`.
-    pub fn take(&mut self, span: Span, asked: Duration) -> Taken {
+    pub fn advance(&mut self, span: Span, asked: Duration) -> Advance {
         match self.at {
-            _ if span.era < self.era => Taken::Old,
-            _ if span.era > self.era => Taken::Gap,
-            at if span.next < at => Taken::Old,
-            at if span.from > at => Taken::Gap,
+            _ if span.era < self.era => Advance::Old,
+            _ if span.era > self.era => Advance::Gap,
+            at if span.next < at => Advance::Old,
+            at if span.from > at => Advance::Gap,
             after => {
                 self.at = span.next;
                 self.confirmed = self.confirmed.max(asked);
-                Taken::New { after }
+                Advance::New { after }
             }
         }
     }
--- a/crates/core/src/stop.rs
+++ b/crates/core/src/stop.rs
@@ -23,9 +23,9 @@
 /// use marjoram_core::stop::Stop;
 /// let stop = Stop { begun: Duration::from_secs(10), end: Duration::from_secs(17) };
 /// let limit = Duration::from_secs(5);
-/// assert!(stop.takes(Duration::from_secs(12), limit));
-/// assert!(!stop.takes(Duration::from_secs(14), limit));
-/// assert!(stop.takes(Duration::from_secs(14), Duration::from_secs(1)));
+/// assert!(stop.accepts(Duration::from_secs(12), limit));
+/// assert!(!stop.accepts(Duration::from_secs(14), limit));
+/// assert!(stop.accepts(Duration::from_secs(14), Duration::from_secs(1)));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stop {
@@ -38,7 +38,7 @@
 impl Stop {
     /// Whether a request that arrives at `now` and may take up to `limit` is
     /// accepted.
-    pub fn takes(&self, now: Duration, limit: Duration) -> bool {
+    pub fn accepts(&self, now: Duration, limit: Duration) -> bool {
         now < self.begun + ACCEPT_ALL || now + limit + RESPONSE_MARGIN <= self.end
     }
 }
--- a/crates/core/src/soundness.rs
+++ b/crates/core/src/store_availability.rs
@@ -48,15 +48,15 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::soundness::agreed;
+/// use marjoram_core::store_availability::outage_age;
 /// let secs = Duration::from_secs;
 /// // Of nine hosts, two are a quorum.
-/// assert_eq!(agreed(Some(secs(0)), [], 9), None);
-/// assert_eq!(agreed(Some(secs(0)), [secs(1)], 9), Some(secs(1)));
-/// assert_eq!(agreed(Some(secs(0)), [], 1), Some(secs(0)));
-/// assert_eq!(agreed(None, [secs(0), secs(0)], 9), None);
+/// assert_eq!(outage_age(Some(secs(0)), [], 9), None);
+/// assert_eq!(outage_age(Some(secs(0)), [secs(1)], 9), Some(secs(1)));
+/// assert_eq!(outage_age(Some(secs(0)), [], 1), Some(secs(0)));
+/// assert_eq!(outage_age(None, [secs(0), secs(0)], 9), None);
 /// ```
-pub fn agreed(
+pub fn outage_age(
     own: Option<Duration>,
     others: impl IntoIterator<Item = Duration>,
     hosts: usize,
@@ -83,31 +83,31 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::soundness::Soundness;
+/// use marjoram_core::store_availability::StoreAvailability;
 /// let secs = Duration::from_secs;
-/// let mut store = Soundness::new();
-/// store.good(secs(19));
+/// let mut store = StoreAvailability::new();
+/// store.record_success(secs(19));
 /// store.note_error(secs(20));
 /// // Of the 22 seconds before 28 s, 13 are in one period before the error. At 22
 /// // s, two seconds have passed since it.
-/// assert_eq!(store.past(secs(22), secs(28)), secs(13));
-/// assert_eq!(store.lasts(secs(22)), secs(2));
+/// assert_eq!(store.longest_past_period(secs(22), secs(28)), secs(13));
+/// assert_eq!(store.error_free_for(secs(22)), secs(2));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Soundness {
+pub struct StoreAvailability {
     last_error: Option<Duration>,
     last_success: Duration,
     periods: VecDeque<ErrorFreePeriod>,
 }
 
-impl Soundness {
+impl StoreAvailability {
     /// Creates a tracker with no errors recorded.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Records that the store responded in time at `now`.
-    pub fn good(&mut self, now: Duration) {
+    pub fn record_success(&mut self, now: Duration) {
         self.last_success = self.last_success.max(now);
     }
 
@@ -130,13 +130,13 @@
 
     /// How long the store has been without errors at `now`; [`Duration::MAX`] if
     /// it never failed.
-    pub fn lasts(&self, now: Duration) -> Duration {
+    pub fn error_free_for(&self, now: Duration) -> Duration {
         self.last_error.map_or(Duration::MAX, |at| now.saturating_sub(at))
     }
 
     /// The longest error-free period that ended before the last error, counting
     /// only the part within the `span` before `now`.
-    pub fn past(&self, span: Duration, now: Duration) -> Duration {
+    pub fn longest_past_period(&self, span: Duration, now: Duration) -> Duration {
         let within = |period: &ErrorFreePeriod| {
             let since = span.saturating_sub(now.saturating_sub(period.end));
             period.start.map_or(since, |start| since.min(period.end.saturating_sub(start)))
--- a/crates/core/src/switches.rs
+++ b/crates/core/src/switches.rs
@@ -14,7 +14,7 @@
 pub enum Mechanism {
     /// Requests that share a prefix path prefer one engine, selected by
     /// rendezvous hashing.
-    Homes,
+    PreferredEngines,
     /// Cached shared prompt parts are copied from the engine or cache store that
     /// holds them.
     Copies,
@@ -22,40 +22,40 @@
     /// there.
     Stores,
     /// Small prompts prefer a partition of the engines, large ones the others.
-    Lanes,
+    SizePartitions,
     /// With many hosts, each request is compared only over a few engines sampled
     /// by hashing.
-    Drawing,
+    EngineSampling,
     /// Large prompts wait at the router, not in the engine's queue, when others
     /// are ahead of them.
     Waiting,
     /// Hosts include each other's requests in the load of the engines.
     Loads,
     /// Hosts read cache events and pass the updates on to other hosts.
-    News,
+    CacheUpdates,
     /// Hosts report to each other which upstreams they could not reach.
-    Doubts,
+    UnreachableReports,
     /// After an engine refuses a request because of its weights version, it is
     /// asked which version it serves.
     Reports,
     /// For each workspace, a few hosts act as quota coordinators. Without this,
     /// each host keeps to a fixed share of the quota.
-    Accounts,
+    QuotaCoordinators,
 }
 
 /// All mechanisms with the names that `--without` takes.
 const NAMES: [(Mechanism, &str); 11] = [
-    (Mechanism::Homes, "homes"),
+    (Mechanism::PreferredEngines, "homes"),
     (Mechanism::Copies, "copies"),
     (Mechanism::Stores, "stores"),
-    (Mechanism::Lanes, "lanes"),
-    (Mechanism::Drawing, "drawing"),
+    (Mechanism::SizePartitions, "lanes"),
+    (Mechanism::EngineSampling, "drawing"),
     (Mechanism::Waiting, "waiting"),
     (Mechanism::Loads, "loads"),
-    (Mechanism::News, "news"),
-    (Mechanism::Doubts, "doubts"),
+    (Mechanism::CacheUpdates, "news"),
+    (Mechanism::UnreachableReports, "doubts"),
     (Mechanism::Reports, "reports"),
-    (Mechanism::Accounts, "accounts"),
+    (Mechanism::QuotaCoordinators, "accounts"),
 ];
 
 impl fmt::Display for Mechanism {
@@ -81,7 +81,7 @@
 /// ```
 /// use marjoram_core::switches::{Mechanism, Switches};
 /// let switches: Switches = "homes,copies".parse().unwrap();
-/// assert!(!switches.has(Mechanism::Homes) && switches.has(Mechanism::Lanes));
+/// assert!(!switches.has(Mechanism::PreferredEngines) && switches.has(Mechanism::SizePartitions));
 /// assert_eq!(switches.to_string(), "homes,copies");
 /// assert!("home".parse::<Switches>().is_err());
 /// ```
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use marjoram_core::pace::{CALL_BYTES, CALLS};
+use marjoram_core::pace::{CALL_BYTES, MAX_CONCURRENT_CALLS};
 use marjoram_core::spread::{Host, plan};
 use model::{Outcome, Play, play};
 use rand::{Rng, SeedableRng};
@@ -67,7 +67,7 @@
 fn calls_stay_within_three_tenths_of_the_link(hosts: usize, engines: usize, finish: f64) {
     for (failing, named) in [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])] {
         let outcome = run(&Play { failing, named, ..of(hosts, engines, finish) });
-        let bound = CALL_RATE + CALLS as f64 * CALL_BYTES;
+        let bound = CALL_RATE + MAX_CONCURRENT_CALLS as f64 * CALL_BYTES;
         assert!(outcome.call_rate <= bound, "{} bytes in a second", outcome.call_rate);
     }
 }
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use marjoram_core::announce::{Announcements, Change, PERIOD};
-use marjoram_core::pace::{CALL_BYTES, CALLS, Calls, LinkSpeed, QUESTION};
+use marjoram_core::pace::{
+    CALL_BYTES, CallLimiter, LinkSpeed, MAX_CONCURRENT_CALLS, MIN_POLL_INTERVAL,
+};
 use marjoram_core::rollout::{self, Named};
 use marjoram_core::spread::fan_out;
 use rand::{Rng, SeedableRng};
@@ -107,7 +109,7 @@
     seen: Vec<rollout::Engine>,
     told: Announcements,
     under_way: usize,
-    paced: Calls,
+    paced: CallLimiter,
     calls: Vec<(f64, f64)>,
     messages: Vec<(f64, f64)>,
     rng: ChaCha8Rng,
@@ -192,7 +194,7 @@
             seen: (0..play.engines).map(seen).collect(),
             told: Announcements::default(),
             under_way: 0,
-            paced: Calls::default(),
+            paced: CallLimiter::default(),
             calls: Vec::new(),
             messages: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(0x10ad),
@@ -255,7 +257,7 @@
     /// allowed, has ended after `time`.
     fn has_called(&mut self, at: usize, time: f64) -> bool {
         match self.engines[at].call {
-            None if self.under_way < CALLS => {
+            None if self.under_way < MAX_CONCURRENT_CALLS => {
                 self.under_way += 1;
                 let begins = self.now + self.paced.wait(LINK, secs(self.now)).as_secs_f64();
                 self.calls.push((begins, CALL_BYTES));
@@ -308,7 +310,7 @@
         let engine = &mut self.engines[at];
         engine.idle = 0;
         if !accepted {
-            return Step::Waiting(self.now + QUESTION.as_secs_f64());
+            return Step::Waiting(self.now + MIN_POLL_INTERVAL.as_secs_f64());
         }
         engine.finishing = self.play.finish;
         engine.loading = Some(LOAD);
@@ -326,14 +328,14 @@
         }
         if engine.loading.is_none() {
             engine.idle += 1;
-            return Step::Waiting(self.now + QUESTION.as_secs_f64());
+            return Step::Waiting(self.now + MIN_POLL_INTERVAL.as_secs_f64());
         }
         Step::Waiting(self.now + self.pause())
     }
 
     fn pause(&self) -> f64 {
         let changing = self.seen.iter().filter(|e| e.changing.is_some()).count();
-        LINK.question_pause(changing).as_secs_f64()
+        LINK.poll_interval(changing).as_secs_f64()
     }
 
     fn close(&mut self, at: usize) {
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -36,7 +36,7 @@
 pub fn answer(node: &Node, updates: Vec<WireMember>) -> Vec<WireMember> {
     let mut members = node.members.lock().unwrap();
     members.merge(&decode(updates));
-    members.news().into_iter().map(WireMember::from).collect()
+    members.outgoing_updates().into_iter().map(WireMember::from).collect()
 }
 
 /// Sets this router's status to `status` and pings one other router at once, to spread it.
@@ -50,7 +50,7 @@
 
 /// Exchanges membership updates with `addr`; whether it answered or is known to be down.
 async fn ping(node: &Node, addr: &str) -> bool {
-    let updates = node.members.lock().unwrap().news();
+    let updates = node.members.lock().unwrap().outgoing_updates();
     let call = Call::Ping(updates.into_iter().map(WireMember::from).collect());
     let result = peer::call(node, addr, &call, PING_TIMEOUT).await;
     let mut members = node.members.lock().unwrap();
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -10,7 +10,7 @@
 
 use arc_swap::ArcSwap;
 use cadence::{BufferedUdpMetricSink, QueuingMetricSink, StatsdClient};
-use marjoram_core::admission::{Budget, Pace};
+use marjoram_core::admission::{Budget, PrefillTime};
 use marjoram_core::cache::{MAX_SLOTS, Picture, Slot};
 use marjoram_core::claims::Claims;
 use marjoram_core::config::{Config, Routing};
@@ -119,7 +119,7 @@
     /// Prompt tokens sent from this node and not yet read, by slot.
     pub pending: [AtomicU64; MAX_SLOTS],
     /// Measured time each engine takes to read prompts, by slot.
-    pub prefill_time: [Pace; MAX_SLOTS],
+    pub prefill_time: [PrefillTime; MAX_SLOTS],
     /// Retry budget of this node.
     pub budget: Budget,
     /// Requests each engine last reported beyond this node's own, by slot.
@@ -172,7 +172,7 @@
             policies: policy::Router::new(),
             inflight: std::array::from_fn(|_| AtomicU32::new(0)),
             pending: std::array::from_fn(|_| AtomicU64::new(0)),
-            prefill_time: std::array::from_fn(|_| Pace::new()),
+            prefill_time: std::array::from_fn(|_| PrefillTime::new()),
             budget: Budget::new(RETRY_BUDGET_PER_MILLE, RETRY_BURST),
             remote_load: std::array::from_fn(|_| AtomicU32::new(0)),
             down: std::array::from_fn(|_| AtomicBool::new(false)),
--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -68,7 +68,9 @@
 pub async fn run(site: Rc<Site>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let Some(catalog) = site.catalog().filter(|_| site.has(Mechanism::News)) else { continue };
+        let Some(catalog) = site.catalog().filter(|_| site.has(Mechanism::CacheUpdates)) else {
+            continue;
+        };
         let services = catalog.services.values();
         let engines = services.filter_map(|s| match &s.role {
             Role::Engine(spec) => Some((s.name.clone(), spec.listeners as usize)),
--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -19,7 +19,7 @@
 
 use marjoram_core::candidacy::{self, Unreached};
 use marjoram_core::era::Token;
-use marjoram_core::pace::{self, Calls};
+use marjoram_core::pace::{self, CallLimiter};
 use marjoram_core::rollout::{self, Named};
 use marjoram_core::tenure::{Dealt, MARGIN, Tenure};
 use marjoram_core::upstream::{Life, Weights};
@@ -85,7 +85,7 @@
     /// Limits concurrent calls to engines.
     call_limit: Semaphore,
     /// Decides when the next call may begin.
-    call_pacing: Cell<Calls>,
+    call_pacing: Cell<CallLimiter>,
     /// Set when this host is to leave the group for a while, so that another
     /// becomes leader.
     hand_over_requested: Cell<bool>,
@@ -102,7 +102,7 @@
         tenure: RefCell::new(Tenure::new(lease(site))),
         released: Cell::default(),
         engine_states: RefCell::default(),
-        call_limit: Semaphore::new(pace::CALLS),
+        call_limit: Semaphore::new(pace::MAX_CONCURRENT_CALLS),
         call_pacing: Cell::default(),
         hand_over_requested: Cell::default(),
         takeover_running: Cell::default(),
@@ -182,7 +182,7 @@
     /// The minimum time between the last order of one leader and the first of the
     /// next.
     fn term_gap(&self) -> Duration {
-        self.site.settings.load().bounds.lease
+        self.site.settings.load().bounds.min_handover_interval
     }
 
     /// The fencing token, while this host may send orders.
@@ -205,7 +205,7 @@
     fn poll_interval(&self) -> Duration {
         let known = self.engine_states.borrow();
         let changing = known.values().filter(|k| k.changing.is_some()).count();
-        self.site.settings.load().capacity.link.question_pause(changing)
+        self.site.settings.load().capacity.link.poll_interval(changing)
     }
 
     /// Whether this host may send orders and has some to send. Stopping waits for
--- a/crates/router/src/proxy/duty/change.rs
+++ b/crates/router/src/proxy/duty/change.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::pace::QUESTION;
+use marjoram_core::pace::MIN_POLL_INTERVAL;
 use marjoram_core::upstream::Weights;
 use marjoram_platform::engine::{Ordered, Report, UPSTREAM_HEADER, WeightsOrder};
 use marjoram_platform::store::Call;
@@ -208,11 +208,11 @@
     let begun = leadership.site.now();
     // An order that got no answer has most likely not arrived, so the engine is
     // polled earlier.
-    let mut pause = if accepted { FIRST_POLL_DELAY } else { QUESTION };
+    let mut pause = if accepted { FIRST_POLL_DELAY } else { MIN_POLL_INTERVAL };
     let mut idle = 0;
     loop {
         tokio::time::sleep(pause).await;
-        pause = if accepted { leadership.poll_interval() } else { QUESTION };
+        pause = if accepted { leadership.poll_interval() } else { MIN_POLL_INTERVAL };
         let now = leadership.site.now();
         if leadership.token().is_none() && now - begun > FORMER_LEADER_TIMEOUT {
             return End::Unknown("no longer leader".into());
--- a/crates/router/src/proxy/entry.rs
+++ b/crates/router/src/proxy/entry.rs
@@ -162,8 +162,8 @@
                 "id": u.life.id, "born": u.life.born, "service": entry.service, "addr": entry.addr, "dc": entry.dc,
                 "leaving": entry.leaving, "weights": entry.weights,
                 "closed": u.is_closed(now), "paused": health.is_paused(now),
-                "silent_ms": health.silent(now).as_millis() as u64,
-                "failures": health.failures(), "pace": health.pace(),
+                "silent_ms": health.stalled_for(now).as_millis() as u64,
+                "failures": health.failures(), "pace": health.prefill_throughput(),
                 "own": u.own.get(), "others": u.others.get(), "idle": u.pool.idle(),
             })
         })
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -110,7 +110,7 @@
 
     /// Records that a request to it got no answer.
     pub fn failed(&self, failure: &Failure, now: Duration) {
-        self.health.borrow_mut().answered(false);
+        self.health.borrow_mut().record_response(false);
         if matches!(failure, Failure::Lost(..) | Failure::Silent(_)) {
             self.doubt(now);
         }
@@ -234,7 +234,7 @@
     pub fn new(upstream: Rc<Upstream>, unread: u64, memory: u64, now: Duration) -> Self {
         let load = Load { running: 1, unread, memory };
         upstream.own.set(upstream.own.get().plus(load));
-        upstream.health.borrow_mut().wait(now);
+        upstream.health.borrow_mut().begin_wait(now);
         Self { upstream, load, awaiting_first_output: true }
     }
 
@@ -244,7 +244,7 @@
         let current = self.upstream.own.get();
         self.upstream.own.set(Load { unread: current.unread.saturating_sub(unread), ..current });
         if std::mem::take(&mut self.awaiting_first_output) {
-            self.upstream.health.borrow_mut().unwait();
+            self.upstream.health.borrow_mut().end_wait();
         }
     }
 }
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -127,7 +127,7 @@
                 match site.now() - asked > SLOW {
                     _ if S::pause(&site).is_none() => {}
                     true => site.note_store_error(),
-                    false => site.soundness.borrow_mut().good(site.now()),
+                    false => site.store_availability.borrow_mut().record_success(site.now()),
                 }
                 let span = |next: Offset| {
                     let from = valid.unwrap_or(next).at;
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::relay::{Position, Taken};
+use marjoram_core::relay::{Advance, Position};
 use marjoram_core::upstream::{Change, UpstreamId};
 use marjoram_platform::registry;
 use marjoram_platform::store::{self, Record};
@@ -184,12 +184,12 @@
             let Ok(received) = tokio::time::timeout(left, site.relays.next()).await else {
                 return position.at();
             };
-            match position.take(received.relay.span, received.asked) {
-                Taken::Old => {}
-                Taken::Gap => return position.at(),
-                Taken::New { after } => {
+            match position.advance(received.relay.span, received.asked) {
+                Advance::Old => {}
+                Advance::Gap => return position.at(),
+                Advance::New { after } => {
                     self.apply_relay(site, &received.relay, after);
-                    site.soundness.borrow_mut().good(received.asked);
+                    site.store_availability.borrow_mut().record_success(received.asked);
                 }
             }
         }
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -85,7 +85,7 @@
 fn handle(site: &Rc<Site>, message: Message, from: SocketAddr) {
     match message {
         Message::Heartbeat(mut heartbeat) => {
-            let in_use = site.has(Mechanism::Doubts);
+            let in_use = site.has(Mechanism::UnreachableReports);
             let is_reported = |u: &Rc<Upstream>| in_use && heartbeat.unreachable.contains(&u.key);
             site.fleet
                 .all()
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -43,7 +43,7 @@
 /// Keys of upstreams that this host cannot reach, starting at a random one each
 /// time if there are too many.
 fn unreachable_keys(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
-    let lost = all.iter().filter(|u| u.health.borrow().is_lost(now));
+    let lost = all.iter().filter(|u| u.health.borrow().is_unreachable(now));
     let mut keys: Vec<u64> = lost.map(|u| u.key).collect();
     if keys.len() > MAX_UNREACHABLE {
         let first = rand::random_range(0..keys.len());
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -153,7 +153,7 @@
         gate.retain(|workspace| quotas.contains_key(&workspace));
         gate.usages(site.settings.load().bounds.quota.window, now)
     };
-    if !site.has(Mechanism::Accounts) {
+    if !site.has(Mechanism::QuotaCoordinators) {
         let hosts = site.peers.count();
         return site.quotas.gate.borrow_mut().fix_shares(1.0 / hosts as f64);
     }
--- a/crates/router/src/proxy/relay.rs
+++ b/crates/router/src/proxy/relay.rs
@@ -124,8 +124,8 @@
                 };
                 {
                     let mut health = opened.upstream.health.borrow_mut();
-                    health.answered(true);
-                    health.took(site.now().saturating_sub(begun) + exchange.last_wait());
+                    health.record_response(true);
+                    health.record_latency(site.now().saturating_sub(begun) + exchange.last_wait());
                 }
                 exchange.ended_well();
                 opened.finish(site.now());
@@ -200,7 +200,7 @@
                 Step::Expired if self.begun => return Outcome::Cut("route's time is up".into()),
                 Step::Expired => return Outcome::Refused(self.exchange.expired()),
                 Step::Ended if self.splitter.is_empty() => {
-                    opened.upstream.health.borrow_mut().answered(true);
+                    opened.upstream.health.borrow_mut().record_response(true);
                     self.exchange.ended_well();
                     opened.finish(self.site.now());
                     drop(flight);
@@ -263,7 +263,7 @@
             Ok(Ok(None)) => return Step::Ended,
             Ok(Ok(Some(data))) => self.splitter.push(&data),
         }
-        opened.upstream.health.borrow_mut().alive(self.site.now());
+        opened.upstream.health.borrow_mut().record_activity(self.site.now());
         match self.forward_events(caller).await {
             true => Step::Continue,
             false => Step::Left,
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -125,7 +125,7 @@
         };
         site.count_request(&service);
         let limit = request.asked.deadline.map_or(route.timeout, |d| d.min(route.timeout));
-        if site.stopping.get().is_some_and(|stop| !stop.takes(request.started, limit)) {
+        if site.stopping.get().is_some_and(|stop| !stop.accepts(request.started, limit)) {
             return Err(Refusal::not_run("stopping", RETRY_MIN));
         }
         let charge = workspace.as_ref().map(|w| quota::admit(site, w, &request.asked));
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -10,14 +10,14 @@
 
 use marjoram_core::catalog::{CacheStore, EngineSpec};
 use marjoram_core::exchange::{Part, Prompt};
-use marjoram_core::health::SILENCE;
+use marjoram_core::health::STALL_TIMEOUT;
 use marjoram_core::holdings::{self, BLOCK_SLACK, CacheId};
 use marjoram_core::host::DataCentre;
 use marjoram_core::place::{self, Candidate, Choice, Copying, Need, WeightsAge};
-use marjoram_core::plain::{self, Plain};
+use marjoram_core::plain::{self, PlainUpstream};
 use marjoram_core::poison;
 use marjoram_core::rollout::Named;
-use marjoram_core::soundness::Soundness;
+use marjoram_core::store_availability::StoreAvailability;
 use marjoram_core::switches::Mechanism;
 use marjoram_core::upstream::Life;
 
@@ -134,7 +134,7 @@
     /// limit less [`WEIGHTS_MARGIN`].
     cutoff: Duration,
     /// When the store answered without errors.
-    availability: Soundness,
+    availability: StoreAvailability,
     now: Duration,
 }
 
@@ -146,14 +146,15 @@
 
     /// The part of that time since the last store outage.
     fn elapsed(&self, weights: u64) -> Duration {
-        self.replaced_for(weights).min(self.availability.lasts(self.now))
+        self.replaced_for(weights).min(self.availability.error_free_for(self.now))
     }
 
     /// Whether `weights` may get new requests: their time is not used up now,
     /// and was not before the last store outage either. Without the second
     /// check, an outage would bring weights back into use.
     fn allows(&self, weights: u64) -> bool {
-        let before_outage = self.availability.past(self.replaced_for(weights), self.now);
+        let before_outage =
+            self.availability.longest_past_period(self.replaced_for(weights), self.now);
         self.elapsed(weights) < self.cutoff && before_outage < self.cutoff + WEIGHTS_MARGIN
     }
 
@@ -213,7 +214,7 @@
         };
         let healthy = |u: &&Rc<Upstream>| {
             let health = u.health.borrow();
-            !health.is_paused(now) && health.silent(now) < SILENCE && !u.is_doubted(now)
+            !health.is_paused(now) && health.stalled_for(now) < STALL_TIMEOUT && !u.is_doubted(now)
         };
         let mut usable = self.site.fleet.service(&self.service);
         usable.retain(available);
@@ -235,7 +236,7 @@
         let own_dc = &self.site.settings.load().dc;
         let view = |u: &Rc<Upstream>| {
             let health = u.health.borrow();
-            Plain {
+            PlainUpstream {
                 running: u.load().running,
                 slots: u.entry.borrow().slots,
                 latency: health.latency(),
@@ -243,8 +244,8 @@
                 far: !u.is_in(own_dc),
             }
         };
-        let views: Vec<Plain> = candidates.iter().map(view).collect();
-        match plain::place(&views) {
+        let views: Vec<PlainUpstream> = candidates.iter().map(view).collect();
+        match plain::select(&views) {
             Some(choice) if millis(choice.wait) < self.left() => Ok(Chosen {
                 upstream: candidates[choice.upstream].clone(),
                 prefill: 0,
@@ -348,14 +349,14 @@
         ReplacedWeightsLimit {
             announced: self.site.named.borrow().get(model).cloned().unwrap_or_default(),
             cutoff: self.site.settings.load().bounds.weights.saturating_sub(WEIGHTS_MARGIN),
-            availability: self.site.soundness.borrow().clone(),
+            availability: self.site.store_availability.borrow().clone(),
             now,
         }
     }
 
     /// The state of each of `engines` as the core's placement function takes it.
     ///
-    /// With [`Mechanism::Homes`], engines are ranked by the prompt's prefix path,
+    /// With [`Mechanism::PreferredEngines`], engines are ranked by the prompt's prefix path,
     /// so that prompts with equal beginnings prefer the same engine; without it,
     /// by the request. With many hosts, only a few engines drawn by hashing are
     /// compared for a request: loads known late would otherwise make all hosts
@@ -373,11 +374,11 @@
         let own_dc = &self.site.settings.load().dc;
         let has = |mechanism| self.site.has(mechanism);
         let request = xxh3_64(self.id().as_bytes());
-        let prefix_path = if has(Mechanism::Homes) { prompt.chain() } else { request };
+        let prefix_path = if has(Mechanism::PreferredEngines) { prompt.chain() } else { request };
         let places: Vec<u64> = engines.iter().map(|u| u.place).collect();
-        let small_share = if has(Mechanism::Lanes) { SMALL_PROMPT_SHARE } else { 0.0 };
+        let small_share = if has(Mechanism::SizePartitions) { SMALL_PROMPT_SHARE } else { 0.0 };
         let partition = place::lane(&places, small_share, prompt.input >= place::LARGE);
-        let hosts = if has(Mechanism::Drawing) { self.site.peers.count() } else { 1 };
+        let hosts = if has(Mechanism::EngineSampling) { self.site.peers.count() } else { 1 };
         let drawn = place::draw(request, &places, &partition, hosts);
         let view = |((u, in_partition), drawn): ((&&Rc<Upstream>, bool), bool)| {
             let (load, health, entry) = (u.load(), u.health.borrow(), u.entry.borrow());
@@ -390,7 +391,7 @@
                 slots: entry.slots,
                 memory: load.memory,
                 capacity: spec.capacity,
-                pace: health.pace().unwrap_or(DEFAULT_THROUGHPUT),
+                pace: health.prefill_throughput().unwrap_or(DEFAULT_THROUGHPUT),
                 held: u.held(self.cache(weights), shared, now),
                 copy: source.map(|s| s.copy_cost(&entry.dc)),
                 failures: health.failures(),
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -146,7 +146,7 @@
             }
             Ok(opened) => {
                 self.begun = now;
-                upstream.health.borrow_mut().alive(now);
+                upstream.health.borrow_mut().record_activity(now);
                 tracing::info!(target: "attempt", id = self.id(), upstream = %upstream.life,
                     status = opened.head.status, weights = opened.mark.weights,
                     ms = self.waited.as_millis() as u64,
@@ -218,7 +218,7 @@
                 None => Sent::NoAnswer,
             },
             _ => {
-                upstream.health.borrow_mut().refuses(now, REFUSAL_PAUSE);
+                upstream.health.borrow_mut().pause_for(now, REFUSAL_PAUSE);
                 if let Some(prompt) = &self.request.asked.prompt {
                     reports::handle_unexplained_refusal(&self.site, &upstream, &prompt.model);
                 }
@@ -244,13 +244,13 @@
         let status = opened.head.status;
         match status {
             200..=299 if !opened.mark.sealed => {
-                upstream.health.borrow_mut().answered(false);
+                upstream.health.borrow_mut().record_response(false);
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, status,
                     "dropped a successful answer without a seal");
                 Sent::NoAnswer
             }
             500..=599 => {
-                upstream.health.borrow_mut().answered(false);
+                upstream.health.borrow_mut().record_response(false);
                 match self.collect(opened).await {
                     Some((opened, body)) if opened.mark.sealed => Sent::Failed(opened, body),
                     _ => Sent::NoAnswer,
@@ -276,7 +276,7 @@
     // Only a prompt that was prefilled alone is a sample: how many tokens of
     // others were prefilled in that time is not known exactly.
     if chosen.prefill >= MIN_THROUGHPUT_SAMPLE && ahead == chosen.prefill {
-        chosen.upstream.health.borrow_mut().read(ahead, now - begun);
+        chosen.upstream.health.borrow_mut().record_prefill(ahead, now - begun);
     }
 }
 
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -20,8 +20,8 @@
 use marjoram_core::news::Digest;
 use marjoram_core::policy::PolicyName;
 use marjoram_core::rollout::Named;
-use marjoram_core::soundness::{self, Soundness};
 use marjoram_core::stop::Stop;
+use marjoram_core::store_availability::{self, StoreAvailability};
 use marjoram_core::switches::{Mechanism, Switches};
 use marjoram_core::tenure::Stance;
 use marjoram_core::upstream::Registry;
@@ -85,7 +85,7 @@
     /// When this host's last store error was.
     pub store_error: Cell<Option<Duration>>,
     /// Store availability over time, as judged from all hosts' errors.
-    pub soundness: RefCell<Soundness>,
+    pub store_availability: RefCell<StoreAvailability>,
     /// Since when other hosts are known to have newer state.
     pub outdated_since: Cell<Option<Duration>>,
     /// This host's candidate status for leadership of weights rollouts.
@@ -133,7 +133,7 @@
             recalled: Cell::default(),
             era: Cell::default(),
             store_error: Cell::default(),
-            soundness: RefCell::default(),
+            store_availability: RefCell::default(),
             outdated_since: Cell::default(),
             stance: Cell::default(),
             no_leadership_until: Cell::default(),
@@ -201,8 +201,8 @@
         let now = self.now();
         let own = Some(now.saturating_sub(last_error));
         let (others, hosts) = self.peers.store_errors(now);
-        if let Some(age) = soundness::agreed(own, others, hosts + 1) {
-            self.soundness.borrow_mut().note_error(now.saturating_sub(age));
+        if let Some(age) = store_availability::outage_age(own, others, hosts + 1) {
+            self.store_availability.borrow_mut().note_error(now.saturating_sub(age));
         }
     }
 
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -17,7 +17,7 @@
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
 use marjoram_core::ids::{ModelVersion, WorkspaceId};
-use marjoram_core::measure::{Measures, Seen};
+use marjoram_core::measure::{Measures, RecentBlocks};
 use marjoram_core::prefix::Prefix;
 use marjoram_core::wire::{Chunk, CompletionRequest, ErrorBody, IDEMPOTENCY_KEY, RouteAnswer};
 use marjoram_core::workload::{Call, Site, Workload};
@@ -97,7 +97,7 @@
     nonce: u64,
     measures: Measures,
     refused_keys: Vec<String>,
-    seen: Seen,
+    seen: RecentBlocks,
     alerts: u64,
 }
 
@@ -112,7 +112,7 @@
         nonce: rand::random(),
         refused_keys: Vec::new(),
         measures: Measures::new(),
-        seen: Seen::new(Duration::from_millis(opts.horizon_ms)),
+        seen: RecentBlocks::new(Duration::from_millis(opts.horizon_ms)),
         alerts: 0,
     }));
     let before = service_stats(&client, opts.service.as_deref()).await;
