--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -10,7 +10,7 @@
 use marjoram_core::config::{Config, Record};
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::ids::{BlockHash, Offset, WorkspaceId};
-use marjoram_core::poison::{CrashReport, Quarantine, Quarantined, Recent, Suspects};
+use marjoram_core::poison::{CrashReport, Quarantine, Quarantined, RecentCompletions, Suspects};
 
 #[global_allocator]
 static ALLOC: dhat::Alloc = dhat::Alloc;
@@ -71,8 +71,8 @@
     }
     println!("poison: {} in quarantine, {} bytes", quarantine.len(), heap() - before);
     let before = heap();
-    let mut recent = Recent::new();
-    recent.note(Fingerprint(1), Duration::ZERO);
+    let mut recent = RecentCompletions::new();
+    recent.record(Fingerprint(1), Duration::ZERO);
     println!("poison: good runs, {} bytes", heap() - before);
 }
 
--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -6,7 +6,7 @@
 //! were too small to do the work took leadership in turns, and each change costs
 //! the minimum handover interval.
 //!
-//! Limits: the [`CANDIDATES`] hosts with the most capacity are candidates, called
+//! Limits: the [`PREFERRED_CANDIDATES`] hosts with the most capacity are candidates, called
 //! the preferred ones here. A member that joins or leaves may move leadership, so
 //! none does while engines are due to change and there are other candidates. A
 //! host cools down, with no capacity, if it lost its membership while others saw
@@ -18,10 +18,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::tenure::Stance;
+use crate::leadership::CandidateStatus;
 
 /// Number of preferred candidates.
-pub const CANDIDATES: usize = 16;
+pub const PREFERRED_CANDIDATES: usize = 16;
 
 /// With at least this number of other candidates, a preferred host does not join
 /// while engines are due to change. With fewer, it joins once it has been up for
@@ -47,7 +47,7 @@
 const ERROR_REPORT_DELAY: Duration = Duration::from_secs(1);
 
 /// How long a host cools down, in seconds.
-pub const REST: Duration = Duration::from_secs(30);
+pub const COOL_DOWN: Duration = Duration::from_secs(30);
 
 /// How long the leader may fail to reach an engine before it hands over, in
 /// seconds.
@@ -57,15 +57,15 @@
 /// processor share, in hundredths of a core, and its link speed, in megabits a
 /// second. Zero while the host cools down.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Room(pub u32);
+pub struct ControlCapacity(pub u32);
 
-impl Room {
+impl ControlCapacity {
     /// The capacity of a host with `cores` and a link of `mbps`.
     ///
     /// ```
-    /// use marjoram_core::candidacy::Room;
-    /// assert_eq!(Room::new(0.12, 200.0), Room(12));
-    /// assert_eq!(Room::new(0.5, 20.0), Room(20));
+    /// use marjoram_core::candidacy::ControlCapacity;
+    /// assert_eq!(ControlCapacity::new(0.12, 200.0), ControlCapacity(12));
+    /// assert_eq!(ControlCapacity::new(0.5, 20.0), ControlCapacity(20));
     /// ```
     pub fn new(cores: f64, mbps: f64) -> Self {
         Self((cores * 100.0).min(mbps).clamp(1.0, f64::from(u32::MAX)) as u32)
@@ -73,13 +73,13 @@
 }
 
 /// Order of hosts as candidates: by capacity, then by a hash of the name.
-pub type Rank = (Room, u64);
+pub type Rank = (ControlCapacity, u64);
 
 /// Another host, as its last heartbeat describes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Other {
+pub struct OtherHost {
     /// Its candidate status.
-    pub stance: Stance,
+    pub candidate_status: CandidateStatus,
     /// Its rank.
     pub rank: Rank,
     /// How long ago it last saw a store error.
@@ -92,7 +92,7 @@
     /// How long its process has been up.
     pub up: Duration,
     /// How long there has been no other candidate.
-    pub vacant: Duration,
+    pub without_candidate: Duration,
     /// Time in which each host receives one heartbeat from every other.
     pub round: Duration,
     /// Whether engines are due to change their weights.
@@ -102,57 +102,58 @@
     /// How long ago it last saw a store error.
     pub errors: Option<Duration>,
     /// The other hosts that accept requests.
-    pub others: Vec<Other>,
+    pub others: Vec<OtherHost>,
 }
 
 impl View {
     /// Number of other candidates.
-    pub fn standing(&self) -> usize {
-        self.others.iter().filter(|o| o.stance == Stance::Stands).count()
+    pub fn candidates(&self) -> usize {
+        self.others.iter().filter(|o| o.candidate_status == CandidateStatus::Candidate).count()
     }
 
     /// Whether this host is one of the preferred candidates.
     fn is_preferred(&self) -> bool {
         let above = self.others.iter().filter(|o| o.rank > self.rank).count();
-        above < CANDIDATES && self.rank.0 > Room::default()
+        above < PREFERRED_CANDIDATES && self.rank.0 > ControlCapacity::default()
     }
 
     /// Whether the host is to join the candidate group.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use marjoram_core::candidacy::{Other, Room, View};
-    /// use marjoram_core::tenure::Stance;
+    /// use marjoram_core::candidacy::{OtherHost, ControlCapacity, View};
+    /// use marjoram_core::leadership::CandidateStatus;
     /// let secs = Duration::from_secs;
     /// let other =
-    ///     |room| Other { stance: Stance::Stands, rank: (Room(room), 1), errors: None };
+    ///     |room| OtherHost { candidate_status: CandidateStatus::Candidate, rank: (ControlCapacity(room), 1), errors: None };
     /// let mut view = View {
     ///     up: secs(3),
-    ///     vacant: secs(0),
+    ///     without_candidate: secs(0),
     ///     round: secs(2),
     ///     pending: false,
-    ///     rank: (Room(12), 5),
+    ///     rank: (ControlCapacity(12), 5),
     ///     errors: None,
     ///     others: vec![other(50); 20],
     /// };
     /// assert!(!view.joins(), "others have more room");
-    /// view.rank.0 = Room(80);
+    /// view.rank.0 = ControlCapacity(80);
     /// assert!(view.joins());
     /// view.pending = true;
     /// assert!(!view.joins(), "its join might move the duty");
-    /// view.others.iter_mut().for_each(|o| o.stance = Stance::Fails);
+    /// view.others.iter_mut().for_each(|o| o.candidate_status = CandidateStatus::Unconfirmed);
     /// assert!(view.joins(), "nobody else would order");
     /// ```
     pub fn joins(&self) -> bool {
-        let is_vacant = self.standing() == 0;
+        let is_vacant = self.candidates() == 0;
         match self.is_preferred() {
             true => {
-                let too_few = self.standing() < MIN_CANDIDATES && self.up >= MIN_UPTIME;
+                let too_few = self.candidates() < MIN_CANDIDATES && self.up >= MIN_UPTIME;
                 is_vacant || !self.pending || too_few
             }
             false => {
-                let vacant = self.vacant >= NO_CANDIDATE_FOR + self.round * NO_CANDIDATE_ROUNDS;
-                is_vacant && vacant && self.errors.is_none_or(|age| age >= ERROR_FREE)
+                let without_candidate =
+                    self.without_candidate >= NO_CANDIDATE_FOR + self.round * NO_CANDIDATE_ROUNDS;
+                is_vacant && without_candidate && self.errors.is_none_or(|age| age >= ERROR_FREE)
             }
         }
     }
@@ -160,7 +161,7 @@
     /// Whether a member is to leave the group again: it is not preferred, and there are
     /// enough other candidates.
     pub fn leaves(&self) -> bool {
-        !self.pending && !self.is_preferred() && self.standing() >= CANDIDATES
+        !self.pending && !self.is_preferred() && self.candidates() >= PREFERRED_CANDIDATES
     }
 
     /// Whether a host that the store has not confirmed for `lapse` is to cool down,
@@ -170,25 +171,26 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use marjoram_core::candidacy::{Other, Room, View};
-    /// use marjoram_core::tenure::Stance;
+    /// use marjoram_core::candidacy::{OtherHost, ControlCapacity, View};
+    /// use marjoram_core::leadership::CandidateStatus;
     /// let secs = Duration::from_secs;
-    /// let other = |errors| Other { stance: Stance::Stands, rank: (Room(50), 1), errors };
+    /// let other = |errors| OtherHost { candidate_status: CandidateStatus::Candidate, rank: (ControlCapacity(50), 1), errors };
     /// let mut view = View {
     ///     up: secs(60),
-    ///     vacant: secs(0),
+    ///     without_candidate: secs(0),
     ///     round: secs(2),
     ///     pending: true,
-    ///     rank: (Room(12), 5),
+    ///     rank: (ControlCapacity(12), 5),
     ///     errors: Some(secs(0)),
     ///     others: vec![other(None); 15],
     /// };
-    /// assert!(view.rests(secs(3)));
+    /// assert!(view.must_cool_down(secs(3)));
     /// view.others[..5].fill(other(Some(secs(2))));
-    /// assert!(!view.rests(secs(3)));
+    /// assert!(!view.must_cool_down(secs(3)));
     /// ```
-    pub fn rests(&self, lapse: Duration) -> bool {
-        let members = || self.others.iter().filter(|o| o.stance != Stance::Idle);
+    pub fn must_cool_down(&self, lapse: Duration) -> bool {
+        let members =
+            || self.others.iter().filter(|o| o.candidate_status != CandidateStatus::NotMember);
         let within = |age: Duration| age <= lapse + ERROR_REPORT_DELAY;
         let affected = members().filter(|o| o.errors.is_some_and(within)).count();
         affected * OUTAGE_SHARE < members().count() || members().count() == 0
@@ -197,7 +199,7 @@
 
 /// An engine that is due to change its weights and that the leader cannot reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreached {
+pub struct UnreachableEngine {
     /// For how long the leader has tried, while no other host reported the engine as
     /// unreachable.
     pub tried: Duration,
@@ -211,17 +213,17 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::candidacy::{Unreached, hands_over};
-/// let engine = |secs, used| Unreached { tried: Duration::from_secs(secs), used };
+/// use marjoram_core::candidacy::{UnreachableEngine, hands_over};
+/// let engine = |secs, used| UnreachableEngine { tried: Duration::from_secs(secs), used };
 /// assert!(hands_over([engine(4, true)], 0, true));
 /// assert!(!hands_over([engine(4, false), engine(1, true)], 0, true));
 /// assert!(!hands_over([engine(4, true)], 3, true));
 /// ```
 pub fn hands_over(
-    unreached: impl IntoIterator<Item = Unreached>,
+    unreached: impl IntoIterator<Item = UnreachableEngine>,
     changing: usize,
     has_candidate: bool,
 ) -> bool {
-    let is_out_of_reach = |engine: Unreached| engine.used && engine.tried >= OUT_OF_REACH;
+    let is_out_of_reach = |engine: UnreachableEngine| engine.used && engine.tried >= OUT_OF_REACH;
     has_candidate && changing == 0 && unreached.into_iter().any(is_out_of_reach)
 }
--- a/crates/core/src/host.rs
+++ b/crates/core/src/host.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::candidacy::Room;
+use crate::candidacy::ControlCapacity;
 use crate::pace::LinkSpeed;
 use crate::quota::Tolerance;
 
@@ -64,8 +64,8 @@
 impl Capacity {
     /// Its capacity for taking on system-wide tasks, such as the leadership of
     /// weights rollouts.
-    pub fn room(self) -> Room {
-        Room::new(self.cores, self.link.0)
+    pub fn room(self) -> ControlCapacity {
+        ControlCapacity::new(self.cores, self.link.0)
     }
 }
 
--- a/crates/core/src/tenure.rs
+++ b/crates/core/src/leadership.rs
@@ -38,17 +38,17 @@
 
 /// Whether a host is a candidate for leadership, as hosts report to each other.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stance {
+pub enum CandidateStatus {
     /// It is not a member of the candidate group.
     #[default]
-    Idle,
+    NotMember,
     /// It is a member of the group, and so may become leader.
-    Stands,
+    Candidate,
     /// It tries to be a member, but the store does not confirm it.
-    Fails,
+    Unconfirmed,
 }
 
-impl Stance {
+impl CandidateStatus {
     /// The status at `now` of a host that joined at `joined`, and that the store last
     /// confirmed for `lease` at `confirmed`.
     pub fn new(
@@ -58,25 +58,25 @@
         now: Duration,
     ) -> Self {
         match (joined, confirmed) {
-            (None, _) => Self::Idle,
-            (_, Some(at)) if now < at + lease => Self::Stands,
-            (Some(at), _) if now < at + FIRST_JOIN => Self::Stands,
-            _ => Self::Fails,
+            (None, _) => Self::NotMember,
+            (_, Some(at)) if now < at + lease => Self::Candidate,
+            (Some(at), _) if now < at + FIRST_JOIN => Self::Candidate,
+            _ => Self::Unconfirmed,
         }
     }
 }
 
 /// Time at the end of the lease during which no orders are given, in milliseconds.
 /// It covers the few milliseconds that an order takes to arrive.
-pub const MARGIN: Duration = Duration::from_millis(400);
+pub const ORDER_MARGIN: Duration = Duration::from_millis(400);
 
 /// The effect of an answer of the store on this host's leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Dealt {
+pub enum LeadershipChange {
     /// Nothing changed.
     Unchanged,
     /// This host is now the leader.
-    Taken {
+    Gained {
         /// The fencing token of its orders.
         token: Token,
         /// The time from which the handover interval is counted.
@@ -95,22 +95,22 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::era::{Era, Token};
-/// use marjoram_core::tenure::Tenure;
+/// use marjoram_core::leadership::LeaderTerm;
 /// let ms = Duration::from_millis;
-/// let mut tenure = Tenure::new(ms(2_700));
+/// let mut leader_term = LeaderTerm::new(ms(2_700));
 /// let token = Token::new(Era(0), 7);
-/// tenure.dealt(true, token, ms(10), ms(14), ms(3_000));
-/// assert_eq!(tenure.token(ms(1_000), ms(3_000)), None);
+/// leader_term.on_store_answer(true, token, ms(10), ms(14), ms(3_000));
+/// assert_eq!(leader_term.token(ms(1_000), ms(3_000)), None);
 /// // Renewed while the handover interval passes, and confirmed after it.
-/// tenure.dealt(true, token, ms(2_000), ms(2_004), ms(3_000));
-/// assert_eq!(tenure.token(ms(3_014), ms(3_000)), None);
-/// tenure.dealt(true, token, ms(3_014), ms(3_018), ms(3_000));
-/// assert_eq!(tenure.token(ms(3_018), ms(3_000)), Some(token));
+/// leader_term.on_store_answer(true, token, ms(2_000), ms(2_004), ms(3_000));
+/// assert_eq!(leader_term.token(ms(3_014), ms(3_000)), None);
+/// leader_term.on_store_answer(true, token, ms(3_014), ms(3_018), ms(3_000));
+/// assert_eq!(leader_term.token(ms(3_018), ms(3_000)), Some(token));
 /// // Its lease is about to end.
-/// assert_eq!(tenure.token(ms(5_400), ms(3_000)), None);
+/// assert_eq!(leader_term.token(ms(5_400), ms(3_000)), None);
 /// ```
 #[derive(Debug, Clone)]
-pub struct Tenure {
+pub struct LeaderTerm {
     /// Duration of the lease that the store is asked for.
     lease: Duration,
     /// Until when the lease is certain to last.
@@ -126,7 +126,7 @@
     era: (Era, Duration),
 }
 
-impl Tenure {
+impl LeaderTerm {
     /// No leadership; the store is asked for leases of `lease`.
     pub fn new(lease: Duration) -> Self {
         Self { lease, until: Duration::ZERO, term: None, last_term: None, era: Default::default() }
@@ -136,17 +136,17 @@
     /// whether leadership is `held` by this host, and the token of the assignment.
     /// `handover` is the minimum handover interval. An answer of an earlier era than
     /// the last one's changes nothing.
-    pub fn dealt(
+    pub fn on_store_answer(
         &mut self,
         held: bool,
         token: Token,
         asked: Duration,
         now: Duration,
         handover: Duration,
-    ) -> Dealt {
+    ) -> LeadershipChange {
         let (era, _) = self.era;
         if token.era() < era {
-            return Dealt::Unchanged;
+            return LeadershipChange::Unchanged;
         }
         let is_new_era = token.era() > era;
         if is_new_era {
@@ -160,19 +160,19 @@
                 // newest token is above that of any leader in between.
                 self.term = Some((token, since));
                 self.confirm(since, asked);
-                Dealt::Unchanged
+                LeadershipChange::Unchanged
             }
             (true, _) => {
                 let since = self.resumable_since(asked, handover).unwrap_or(now.max(self.era.1));
                 self.term = Some((token, since));
                 self.confirm(since, asked);
-                Dealt::Taken { token, since }
+                LeadershipChange::Gained { token, since }
             }
             (false, Some((token, _))) => {
                 self.term = None;
-                Dealt::Lost { token }
+                LeadershipChange::Lost { token }
             }
-            (false, None) => Dealt::Unchanged,
+            (false, None) => LeadershipChange::Unchanged,
         }
     }
 
@@ -191,7 +191,7 @@
     pub fn token(&self, now: Duration, handover: Duration) -> Option<Token> {
         let (token, since) = self.term?;
         let confirmed = self.last_term.is_some_and(|(_, asked)| asked >= since + handover);
-        (now + MARGIN < self.until && confirmed).then_some(token)
+        (now + ORDER_MARGIN < self.until && confirmed).then_some(token)
     }
 
     /// The time from `now` until the store is to be asked next: `renewals` times in a
@@ -200,14 +200,14 @@
     /// ```
     /// use std::time::Duration;
     /// use marjoram_core::era::{Era, Token};
-    /// use marjoram_core::tenure::Tenure;
+    /// use marjoram_core::leadership::LeaderTerm;
     /// let ms = Duration::from_millis;
-    /// let mut tenure = Tenure::new(ms(2_000));
-    /// tenure.dealt(true, Token::new(Era(0), 7), ms(10), ms(14), ms(3_000));
-    /// assert_eq!(tenure.pause(ms(14), ms(3_000), 4), ms(500));
-    /// assert_eq!(tenure.pause(ms(2_914), ms(3_000), 4), ms(100));
+    /// let mut leader_term = LeaderTerm::new(ms(2_000));
+    /// leader_term.on_store_answer(true, Token::new(Era(0), 7), ms(10), ms(14), ms(3_000));
+    /// assert_eq!(leader_term.renewal_delay(ms(14), ms(3_000), 4), ms(500));
+    /// assert_eq!(leader_term.renewal_delay(ms(2_914), ms(3_000), 4), ms(100));
     /// ```
-    pub fn pause(&self, now: Duration, handover: Duration, renewals: u32) -> Duration {
+    pub fn renewal_delay(&self, now: Duration, handover: Duration, renewals: u32) -> Duration {
         let usual = self.lease / renewals;
         match self.term {
             Some((_, since)) if now < since + handover => usual.min(since + handover - now),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -45,7 +45,7 @@
 //!   rollouts.
 //! - [`spread`]: broadcasts messages to all hosts through a few relaying hosts.
 //! - [`pace`]: rate limits for control traffic.
-//! - [`tenure`]: one host's term as leader of weights rollouts, which the
+//! - [`leadership`]: one host's term as leader of weights rollouts, which the
 //!   platform's store assigns.
 //! - [`era`]: eras of the platform's store (a new one starts each time it is
 //!   restored from a copy), and fencing tokens across them.
@@ -74,6 +74,7 @@
 pub mod holdings;
 pub mod host;
 pub mod ids;
+pub mod leadership;
 pub mod lease;
 pub mod measure;
 pub mod members;
@@ -92,7 +93,6 @@
 pub mod stop;
 pub mod store_availability;
 pub mod switches;
-pub mod tenure;
 pub mod upstream;
 pub mod wire;
 pub mod workload;
--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -27,14 +27,14 @@
 use crate::place;
 
 pub use quarantine::{Admission, Quarantine};
-pub use recent::Recent;
-pub use suspect::CRASHES;
-pub use suspects::{SETTLE, Suspects};
+pub use recent::RecentCompletions;
+pub use suspect::MIN_CRASHES;
+pub use suspects::{CRASH_REPORT_WINDOW, Suspects};
 
 /// How long a request is refused when it is first detected, in seconds (one hour);
 /// doubled each time it crashes an upstream again. By the end its caller, or the
 /// software that runs it, has most likely changed.
-pub const TERM: Duration = Duration::from_secs(3_600);
+pub const QUARANTINE_TERM: Duration = Duration::from_secs(3_600);
 
 /// The longest such time, in seconds (one day).
 const MAX_TERM: Duration = Duration::from_secs(24 * 3_600);
@@ -52,12 +52,12 @@
 ///
 /// ```
 /// use marjoram_core::fingerprint::Fingerprint;
-/// use marjoram_core::poison::apart;
+/// use marjoram_core::poison::retry_upstreams;
 /// let places: Vec<u64> = (0..12).collect();
-/// assert_eq!(apart(Fingerprint(1), &places).len(), 2);
-/// assert_ne!(apart(Fingerprint(1), &places), apart(Fingerprint(2), &places));
+/// assert_eq!(retry_upstreams(Fingerprint(1), &places).len(), 2);
+/// assert_ne!(retry_upstreams(Fingerprint(1), &places), retry_upstreams(Fingerprint(2), &places));
 /// ```
-pub fn apart(request: Fingerprint, places: &[u64]) -> Vec<usize> {
+pub fn retry_upstreams(request: Fingerprint, places: &[u64]) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..places.len()).collect();
     indices.sort_unstable_by_key(|&i| Reverse(place::rank(request.0, places[i])));
     indices.truncate(RETRY_UPSTREAMS);
@@ -106,13 +106,13 @@
     /// ```
     /// use std::time::Duration;
     /// use marjoram_core::fingerprint::Fingerprint;
-    /// use marjoram_core::poison::{TERM, Quarantined};
+    /// use marjoram_core::poison::{QUARANTINE_TERM, Quarantined};
     /// let at = Duration::from_secs(1_000_000);
     /// let first = Quarantined::new(Fingerprint(1), vec![1, 2, 3], at);
-    /// assert_eq!(first.until(), at + TERM);
-    /// assert_eq!(Quarantined { repeats: 2, ..first }.until(), at + TERM * 4);
+    /// assert_eq!(first.until(), at + QUARANTINE_TERM);
+    /// assert_eq!(Quarantined { repeats: 2, ..first }.until(), at + QUARANTINE_TERM * 4);
     /// ```
     pub fn until(&self) -> Duration {
-        self.at + (TERM * (1 << self.repeats.min(MAX_DOUBLINGS))).min(MAX_TERM)
+        self.at + (QUARANTINE_TERM * (1 << self.repeats.min(MAX_DOUBLINGS))).min(MAX_TERM)
     }
 }
--- a/crates/core/src/poison/quarantine.rs
+++ b/crates/core/src/poison/quarantine.rs
@@ -34,13 +34,13 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::fingerprint::Fingerprint;
-/// use marjoram_core::poison::{Admission, Quarantine, TERM, Quarantined};
+/// use marjoram_core::poison::{Admission, Quarantine, QUARANTINE_TERM, Quarantined};
 /// let mut quarantine = Quarantine::new();
 /// let now = Duration::from_secs(1_000_000);
 /// let entry = Quarantined::new(Fingerprint(7), vec![1, 2, 3], now);
 /// assert_eq!(quarantine.admit(entry, now), Admission::New(None));
-/// assert_eq!(quarantine.refuses(Fingerprint(7), now), Some(TERM));
-/// assert_eq!(quarantine.refuses(Fingerprint(7), now + TERM), None);
+/// assert_eq!(quarantine.refuses(Fingerprint(7), now), Some(QUARANTINE_TERM));
+/// assert_eq!(quarantine.refuses(Fingerprint(7), now + QUARANTINE_TERM), None);
 /// assert_eq!(quarantine.refuses(Fingerprint(8), now), None);
 /// ```
 #[derive(Debug, Default)]
@@ -66,7 +66,7 @@
 
     /// Number of detections over all entries. It is equal on hosts that have the same
     /// entries, so hosts compare it.
-    pub fn extent(&self) -> u64 {
+    pub fn detection_count(&self) -> u64 {
         self.entries.values().map(|v| u64::from(v.repeats) + 1).sum()
     }
 
@@ -100,7 +100,7 @@
 
     /// The next entry of a request that was tried again after its term and that
     /// crashed an upstream again, as `report`, received at `now`, says.
-    pub fn again(&self, report: &CrashReport, now: Duration) -> Option<Quarantined> {
+    pub fn recurrence(&self, report: &CrashReport, now: Duration) -> Option<Quarantined> {
         let former = self.entries.get(&report.request)?;
         let since_term = now.checked_sub(former.until())?;
         // It has completed since its term ended: this crash has another cause.
--- a/crates/core/src/poison/recent.rs
+++ b/crates/core/src/poison/recent.rs
@@ -13,25 +13,25 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::fingerprint::Fingerprint;
-/// use marjoram_core::poison::Recent;
-/// let mut recent = Recent::new();
-/// recent.note(Fingerprint(7), Duration::from_secs(1));
+/// use marjoram_core::poison::RecentCompletions;
+/// let mut recent = RecentCompletions::new();
+/// recent.record(Fingerprint(7), Duration::from_secs(1));
 /// assert_eq!(recent.age(Fingerprint(7), Duration::from_secs(3)), Some(Duration::from_secs(2)));
 /// assert_eq!(recent.age(Fingerprint(8), Duration::from_secs(3)), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentCompletions {
     slots: Vec<Option<(Fingerprint, Duration)>>,
 }
 
-impl Recent {
+impl RecentCompletions {
     /// An empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Records that `request` completed at `now`.
-    pub fn note(&mut self, request: Fingerprint, now: Duration) {
+    pub fn record(&mut self, request: Fingerprint, now: Duration) {
         if self.slots.is_empty() {
             self.slots = vec![None; SLOTS];
         }
--- a/crates/core/src/poison/suspect.rs
+++ b/crates/core/src/poison/suspect.rs
@@ -7,7 +7,7 @@
 use super::CrashReport;
 
 /// Crashes at which a request must have been in flight to count as their cause.
-pub const CRASHES: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 
 /// Crashes needed for a request that may have been in flight by coincidence: it was
 /// resumed after a crash, or repeated because of it, at an upstream that crashed
@@ -181,7 +181,7 @@
     /// Number of crashes needed for it to count as their cause.
     pub fn required_crashes(&self) -> usize {
         match self.attempts() >= MIN_ATTEMPTS || self.crashes_at_same_point() {
-            true if !self.completed_before() => CRASHES,
+            true if !self.completed_before() => MIN_CRASHES,
             _ => CRASHES_IF_COINCIDENTAL,
         }
     }
@@ -211,7 +211,7 @@
             self.crashes.iter().filter_map(|c| Some((*c, theirs(c)?))).collect();
         let later = shared.iter().all(|(own, theirs)| own.ran.is_some() && own.ran < theirs.ran);
         self.attempts() == self.crashes.len()
-            && (self.crashes.len() >= CRASHES || other.attempts() == 1)
+            && (self.crashes.len() >= MIN_CRASHES || other.attempts() == 1)
             && !shared.is_empty()
             && (shared.len() < self.crashes.len() || later)
     }
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -6,12 +6,12 @@
 use lru::LruCache;
 
 use super::CrashReport;
-use super::suspect::{CRASHES, Crash, Suspect};
+use super::suspect::{Crash, MIN_CRASHES, Suspect};
 use crate::fingerprint::Fingerprint;
 
 /// Time in milliseconds after the first report of a crash within which all hosts
 /// have reported on it, where they notify each other at once.
-pub const SETTLE: Duration = Duration::from_millis(100);
+pub const CRASH_REPORT_WINDOW: Duration = Duration::from_millis(100);
 
 /// Maximum number of suspects with one crash and with several. They are kept
 /// apart so that callers with ever new bodies cannot evict a request with two
@@ -28,7 +28,7 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::fingerprint::Fingerprint;
-/// use marjoram_core::poison::{CrashReport, SETTLE, Suspects};
+/// use marjoram_core::poison::{CrashReport, CRASH_REPORT_WINDOW, Suspects};
 /// let mut suspects = Suspects::new();
 /// let poison = Fingerprint(1);
 /// for upstream in 1..=3 {
@@ -38,7 +38,7 @@
 ///         suspects.add(&report, Duration::from_secs(upstream));
 ///     }
 /// }
-/// let found = suspects.detect(Duration::from_secs(3) + SETTLE);
+/// let found = suspects.detect(Duration::from_secs(3) + CRASH_REPORT_WINDOW);
 /// assert_eq!(found, [(poison, vec![1, 2, 3])]);
 /// ```
 #[derive(Debug)]
@@ -60,7 +60,7 @@
             with_several_crashes: LruCache::unbounded(),
             explained: LruCache::unbounded(),
             first_reports: LruCache::unbounded(),
-            report_window: SETTLE,
+            report_window: CRASH_REPORT_WINDOW,
         }
     }
 }
@@ -73,7 +73,7 @@
 
     /// No suspects, where all hosts report on a crash within `report_window` of the first
     /// report.
-    pub fn with_settle(report_window: Duration) -> Self {
+    pub fn with_report_window(report_window: Duration) -> Self {
         Self { report_window, ..Self::default() }
     }
 
@@ -191,7 +191,7 @@
 
     /// Whether any suspect was in flight at enough crashes and no detection has
     /// considered them all.
-    pub fn is_unjudged(&self) -> bool {
+    pub fn has_unevaluated(&self) -> bool {
         self.with_several_crashes.iter().any(|(_, s)| s.is_unevaluated())
     }
 
@@ -204,7 +204,7 @@
 
     /// Whether one more crash may suffice to detect `request`.
     pub fn is_close(&self, request: Fingerprint) -> bool {
-        self.with_several_crashes.peek(&request).is_some_and(|s| s.crashes.len() + 1 >= CRASHES)
+        self.with_several_crashes.peek(&request).is_some_and(|s| s.crashes.len() + 1 >= MIN_CRASHES)
     }
 
     /// Whether another suspect explains crashes of `suspect` better, where `suspect`
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -16,7 +16,7 @@
 //!
 //! A host that no coordinator answers keeps to its share of the quota in each
 //! window, as in the last answer that it received, and the coordinators reserve
-//! that share in the bucket of the others for [`RESERVED`]. All shares together
+//! that share in the bucket of the others for [`RESERVATION_TIME`]. All shares together
 //! are never more than the quota: a host's share is raised only by what other
 //! hosts have reported to have given up. So both sides of a network partition
 //! together stay within the quota, at whatever moment it begins. Hosts that have
@@ -40,10 +40,10 @@
 pub const ANSWER_SPAN: Duration = Duration::from_millis(600);
 
 /// How long the share of an unreachable host is reserved, in seconds.
-pub const RESERVED: Duration = Duration::from_secs(30);
+pub const RESERVATION_TIME: Duration = Duration::from_secs(30);
 
 /// Number of quota coordinators of a workspace.
-pub const ACCOUNTS: usize = 2;
+pub const COORDINATORS: usize = 2;
 
 /// Number of workspaces with quotas per pair of coordinators.
 const GROUP_SIZE: usize = 64;
--- a/crates/core/src/quota/gate.rs
+++ b/crates/core/src/quota/gate.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::flow::Flow;
-use super::ledger::{DEMAND_SPAN, RECENT_SPAN, USUAL_SPAN, Usage, Verdict};
+use super::ledger::{Allocation, DEMAND_SPAN, RECENT_SPAN, USUAL_SPAN, Usage};
 use super::{ANSWER_SPAN, Limit, REPORT_INTERVAL};
 
 /// Usual demand in units a second below which a workspace is not reported: that
@@ -40,9 +40,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
     /// By the admission ratio of a coordinator.
-    Told(f64),
+    ByRatio(f64),
     /// No coordinator answers: by this share of the quota.
-    Alone(f64),
+    ByShare(f64),
 }
 
 /// What was admitted within one [`REPORT_INTERVAL`].
@@ -65,7 +65,7 @@
     slots: VecDeque<Slot>,
     /// The last valid answer of each coordinator (by its hashed name), and when it
     /// was received.
-    verdicts: Vec<(u64, Verdict, Duration)>,
+    allocations: Vec<(u64, Allocation, Duration)>,
     /// The share of the quota to use while no coordinator answers, as last
     /// received.
     share: Option<f64>,
@@ -127,11 +127,12 @@
         meter.demand.add(cost as f64, DEMAND_SPAN, now);
         meter.usual.add(cost as f64, USUAL_SPAN, now);
         meter.expire(limit, now);
-        let (passes, wait) = match meter.verdict(now) {
-            Some(verdict) => {
-                let wait = Duration::from_millis(u64::from(verdict.retry_after_ms));
+        let (passes, wait) = match meter.allocation(now) {
+            Some(allocation) => {
+                let wait = Duration::from_millis(u64::from(allocation.retry_after_ms));
                 (
-                    draw < f64::from(verdict.admission_ratio) && meter.is_within_share(limit, now),
+                    draw < f64::from(allocation.admission_ratio)
+                        && meter.is_within_share(limit, now),
                     wait,
                 )
             }
@@ -170,18 +171,18 @@
     }
 
     /// Applies the answer of the coordinator `account`, received at `now`.
-    pub fn hear(&mut self, account: u64, verdict: Verdict, now: Duration) {
-        let Some(meter) = self.meters.get_mut(&verdict.workspace) else { return };
-        meter.share = Some(f64::from(verdict.share));
-        meter.target_share = f64::from(verdict.target_share);
-        meter.burst_left = f64::from(verdict.burst_left);
-        meter.verdicts.retain(|(from, _, at)| *from != account && now < *at + ANSWER_SPAN);
-        meter.verdicts.push((account, verdict, now));
+    pub fn apply(&mut self, account: u64, allocation: Allocation, now: Duration) {
+        let Some(meter) = self.meters.get_mut(&allocation.workspace) else { return };
+        meter.share = Some(f64::from(allocation.share));
+        meter.target_share = f64::from(allocation.target_share);
+        meter.burst_left = f64::from(allocation.burst_left);
+        meter.allocations.retain(|(from, _, at)| *from != account && now < *at + ANSWER_SPAN);
+        meter.allocations.push((account, allocation, now));
     }
 
     /// Gives this host the fixed `share` of all quotas, where coordinators are not
     /// used.
-    pub fn fix_shares(&mut self, share: f64) {
+    pub fn set_fixed_share(&mut self, share: f64) {
         for meter in self.meters.values_mut() {
             (meter.share, meter.target_share, meter.burst_left) = (Some(share), share, 1.0);
         }
@@ -207,9 +208,9 @@
     /// How requests of `workspace` are admitted at `now`.
     pub fn mode(&self, workspace: u64, hosts: usize, now: Duration) -> Option<Mode> {
         let meter = self.meters.get(&workspace)?;
-        Some(match meter.verdict(now) {
-            Some(verdict) => Mode::Told(f64::from(verdict.admission_ratio)),
-            None => Mode::Alone(meter.share(hosts)),
+        Some(match meter.allocation(now) {
+            Some(allocation) => Mode::ByRatio(f64::from(allocation.admission_ratio)),
+            None => Mode::ByShare(meter.share(hosts)),
         })
     }
 
@@ -227,10 +228,10 @@
 
 impl Meter {
     /// The answer with the lowest admission ratio among those still valid.
-    fn verdict(&self, now: Duration) -> Option<&Verdict> {
-        let valid = self.verdicts.iter().filter(|(_, _, at)| now < *at + ANSWER_SPAN);
+    fn allocation(&self, now: Duration) -> Option<&Allocation> {
+        let valid = self.allocations.iter().filter(|(_, _, at)| now < *at + ANSWER_SPAN);
         valid
-            .map(|(_, verdict, _)| verdict)
+            .map(|(_, allocation, _)| allocation)
             .min_by(|a, b| a.admission_ratio.total_cmp(&b.admission_ratio))
     }
 
--- a/crates/core/src/quota/ledger.rs
+++ b/crates/core/src/quota/ledger.rs
@@ -59,7 +59,7 @@
 /// The coordinator's answer to a usage report: what the host may admit of a
 /// workspace's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Verdict {
+pub struct Allocation {
     /// Hash of the workspace's name.
     pub workspace: u64,
     /// The admission ratio: the fraction of requests to admit, 0 to 1.
@@ -80,7 +80,7 @@
     /// Number of reachable hosts, this one included.
     pub heard: usize,
     /// Hashed names of the hosts that have been unreachable for less than
-    /// [`super::RESERVED`].
+    /// [`super::RESERVATION_TIME`].
     pub silent: HashSet<u64>,
 }
 
@@ -95,10 +95,10 @@
     ///
     /// ```
     /// use marjoram_core::quota::ledger::Hosts;
-    /// assert!(Hosts { heard: 2, silent: [7, 8].into() }.may_account());
-    /// assert!(!Hosts { heard: 1, silent: [7, 8].into() }.may_account());
+    /// assert!(Hosts { heard: 2, silent: [7, 8].into() }.can_coordinate());
+    /// assert!(!Hosts { heard: 1, silent: [7, 8].into() }.can_coordinate());
     /// ```
-    pub fn may_account(&self) -> bool {
+    pub fn can_coordinate(&self) -> bool {
         self.heard * 2 >= self.count()
     }
 }
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AccountStatus {
     /// The admission ratio.
-    pub pass: f64,
+    pub admission_ratio: f64,
     /// Units in the bucket; negative when overdrawn.
     pub level: f64,
     /// Demand of the reachable hosts, in units a second.
@@ -140,12 +140,12 @@
 ///     newly_started: true,
 /// };
 /// ledger.report(sender, &usage(0), secs(1.0));
-/// ledger.settle(7, &limit, &hosts, secs(1.0));
+/// ledger.advance(7, &limit, &hosts, secs(1.0));
 /// // The demand is four times the quota, and the bucket is still empty.
-/// assert_eq!(ledger.verdict(7, 1).unwrap().admission_ratio, 0.25);
+/// assert_eq!(ledger.allocation(7, 1).unwrap().admission_ratio, 0.25);
 /// ledger.report(sender, &usage(600), secs(1.25));
-/// ledger.settle(7, &limit, &hosts, secs(1.25));
-/// assert_eq!(ledger.verdict(7, 1).unwrap().admission_ratio, 0.0);
+/// ledger.advance(7, &limit, &hosts, secs(1.25));
+/// assert_eq!(ledger.allocation(7, 1).unwrap().admission_ratio, 0.0);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
@@ -160,21 +160,21 @@
 
     /// Advances the account of `workspace` to `now`, and computes what hosts may
     /// admit from then on.
-    pub fn settle(&mut self, workspace: u64, limit: &Limit, hosts: &Hosts, now: Duration) {
+    pub fn advance(&mut self, workspace: u64, limit: &Limit, hosts: &Hosts, now: Duration) {
         if let Some(account) = self.accounts.get_mut(&workspace) {
-            account.settle(limit, hosts, now);
+            account.advance(limit, hosts, now);
         }
     }
 
     /// Whether the account of `workspace` has been updated since it was created.
-    pub fn is_settled(&self, workspace: u64) -> bool {
-        self.accounts.get(&workspace).is_some_and(|account| account.is_settled())
+    pub fn is_initialized(&self, workspace: u64) -> bool {
+        self.accounts.get(&workspace).is_some_and(|account| account.is_initialized())
     }
 
     /// What `host` may admit of the requests of `workspace`, as computed by the last
     /// update.
-    pub fn verdict(&mut self, workspace: u64, host: u64) -> Option<Verdict> {
-        self.accounts.get_mut(&workspace)?.verdict(workspace, host)
+    pub fn allocation(&mut self, workspace: u64, host: u64) -> Option<Allocation> {
+        self.accounts.get_mut(&workspace)?.allocation(workspace, host)
     }
 
     /// Removes accounts without entries, and those of workspaces for which `keeps`
@@ -189,7 +189,7 @@
     }
 
     /// The state of the account of `workspace` at `now`.
-    pub fn standing(&self, workspace: u64, now: Duration) -> Option<AccountStatus> {
+    pub fn status(&self, workspace: u64, now: Duration) -> Option<AccountStatus> {
         Some(self.accounts.get(&workspace)?.status(now))
     }
 }
--- a/crates/core/src/quota/ledger/account.rs
+++ b/crates/core/src/quota/ledger/account.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{AccountStatus, DEMAND_SPAN, Hosts, Sender, USUAL_SPAN, Usage, Verdict};
+use super::{AccountStatus, Allocation, DEMAND_SPAN, Hosts, Sender, USUAL_SPAN, Usage};
 use crate::quota::flow::Flow;
 use crate::quota::{ANSWER_SPAN, Limit};
 
@@ -177,11 +177,11 @@
 
     /// What `host` may admit of the requests of `workspace`, as computed by the last
     /// update; `None` before the first update or for a host that has not reported.
-    pub(super) fn verdict(&mut self, workspace: u64, host: u64) -> Option<Verdict> {
+    pub(super) fn allocation(&mut self, workspace: u64, host: u64) -> Option<Allocation> {
         self.updated_at?;
         let entry = self.entries.get_mut(&host)?;
         entry.sent_shares = [entry.sent_shares[1], entry.share];
-        Some(Verdict {
+        Some(Allocation {
             workspace,
             admission_ratio: self.admission_ratio as f32,
             share: entry.share as f32,
@@ -194,7 +194,7 @@
     /// The state of the account at `now`.
     pub(super) fn status(&self, now: Duration) -> AccountStatus {
         AccountStatus {
-            pass: self.admission_ratio,
+            admission_ratio: self.admission_ratio,
             level: self.level,
             demand: self.demand(now),
             reserved: self.reserved,
@@ -202,7 +202,7 @@
     }
 
     /// Whether the account has been updated since it was created.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn is_initialized(&self) -> bool {
         self.updated_at.is_some()
     }
 
@@ -220,7 +220,7 @@
     /// Advances the account to `now`: refills the bucket, reserves the shares of
     /// unreachable hosts, and computes the admission ratio, the remaining burst
     /// and the retry delay that answers carry until the next update.
-    pub(super) fn settle(&mut self, limit: &Limit, hosts: &Hosts, now: Duration) {
+    pub(super) fn advance(&mut self, limit: &Limit, hosts: &Hosts, now: Duration) {
         if self.is_abandoned(now) {
             *self = Self::default();
         }
@@ -247,7 +247,7 @@
         let span = now.saturating_sub(self.updated_at.unwrap_or(now)).as_secs_f64();
         // An overdraft older than a window no longer counts.
         let lowest = -rate * limit.tolerance.window.as_secs_f64();
-        if !hosts.may_account() {
+        if !hosts.can_coordinate() {
             // Most hosts are unreachable, and what they admit is not known.
             *self = Self::default();
             return;
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -38,19 +38,19 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::rollout::Named;
-/// let mut named = Named::new();
-/// named.name(2, Duration::from_secs(10));
-/// named.name(4, Duration::from_secs(13));
-/// assert_eq!(named.newest(), Some(4));
+/// use marjoram_core::rollout::AnnouncedVersions;
+/// let mut announced = AnnouncedVersions::new();
+/// announced.record_announced(2, Duration::from_secs(10));
+/// announced.record_announced(4, Duration::from_secs(13));
+/// assert_eq!(announced.newest(), Some(4));
 /// let now = Duration::from_secs(15);
 /// // Version 1 was replaced five seconds ago, by 2; version 2 and 3 by 4.
-/// assert_eq!(named.replaced(1, now), Some(Duration::from_secs(5)));
-/// assert_eq!(named.replaced(2, now), Some(Duration::from_secs(2)));
-/// assert_eq!(named.replaced(4, now), None);
+/// assert_eq!(announced.replaced(1, now), Some(Duration::from_secs(5)));
+/// assert_eq!(announced.replaced(2, now), Some(Duration::from_secs(2)));
+/// assert_eq!(announced.replaced(4, now), None);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Named {
+pub struct AnnouncedVersions {
     /// In ascending order of their numbers.
     versions: Vec<Version>,
 }
@@ -71,7 +71,7 @@
     }
 }
 
-impl Named {
+impl AnnouncedVersions {
     /// No versions.
     pub fn new() -> Self {
         Self::default()
@@ -79,13 +79,13 @@
 
     /// Records that `version` was announced just before `now`, and returns whether it
     /// is the newest.
-    pub fn name(&mut self, version: u64, now: Duration) -> bool {
+    pub fn record_announced(&mut self, version: u64, now: Duration) -> bool {
         self.insert_newest(version, Duration::ZERO, now, true)
     }
 
     /// Records that `version` was announced before this process started, and returns
     /// whether it is the newest.
-    pub fn found(&mut self, version: u64, now: Duration) -> bool {
+    pub fn record_existing(&mut self, version: u64, now: Duration) -> bool {
         self.insert_newest(version, ASSUMED_AGE, now, false)
     }
 
@@ -93,14 +93,14 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use marjoram_core::rollout::Named;
-    /// let mut named = Named::new();
+    /// use marjoram_core::rollout::AnnouncedVersions;
+    /// let mut announced = AnnouncedVersions::new();
     /// let now = Duration::from_secs(1);
-    /// named.found(2, now);
-    /// named.told(2, Duration::from_secs(6), now);
-    /// assert_eq!(named.replaced(1, now), Some(Duration::from_secs(6)));
+    /// announced.record_existing(2, now);
+    /// announced.record_reported(2, Duration::from_secs(6), now);
+    /// assert_eq!(announced.replaced(1, now), Some(Duration::from_secs(6)));
     /// ```
-    pub fn told(&mut self, version: u64, age: Duration, now: Duration) {
+    pub fn record_reported(&mut self, version: u64, age: Duration, now: Duration) {
         let reported =
             Version { number: version, age_when_seen: age, seen_at: now, age_known: true };
         let at = self.versions.partition_point(|v| v.number < version);
--- a/crates/core/tests/candidacy_model.rs
+++ b/crates/core/tests/candidacy_model.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use marjoram_core::candidacy::{CANDIDATES, Other, REST, Room, View};
-use marjoram_core::tenure::Stance;
+use marjoram_core::candidacy::{COOL_DOWN, ControlCapacity, OtherHost, PREFERRED_CANDIDATES, View};
+use marjoram_core::leadership::CandidateStatus;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Clone)]
 struct Host {
-    room: Room,
+    room: ControlCapacity,
     name: u64,
     started: Duration,
     joined: Option<Duration>,
@@ -37,12 +37,12 @@
 }
 
 impl Host {
-    fn room(&self, now: Duration) -> Room {
-        if now < self.rest { Room::default() } else { self.room }
+    fn room(&self, now: Duration) -> ControlCapacity {
+        if now < self.rest { ControlCapacity::default() } else { self.room }
     }
 
-    fn stance(&self, now: Duration) -> Stance {
-        Stance::new(self.joined, self.confirmed, LEASE, now)
+    fn candidate_status(&self, now: Duration) -> CandidateStatus {
+        CandidateStatus::new(self.joined, self.confirmed, LEASE, now)
     }
 
     fn errors(&self, now: Duration) -> Option<Duration> {
@@ -58,11 +58,11 @@
 const SETTLED: Duration = Duration::from_secs(20);
 
 /// What a host told of itself, heard by the others a round later.
-type Heard = Vec<Option<Other>>;
+type Heard = Vec<Option<OtherHost>>;
 
 /// What was told `late` ago.
-fn aged(other: Other, late: Duration) -> Other {
-    Other { errors: other.errors.map(|age| age + late), ..other }
+fn aged(other: OtherHost, late: Duration) -> OtherHost {
+    OtherHost { errors: other.errors.map(|age| age + late), ..other }
 }
 
 struct Site {
@@ -79,7 +79,11 @@
     fn start(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let host = |at: usize| Host {
-            room: Room(if at.is_multiple_of(5) { 10 } else { 20 + rng.random_range(0..3) * 40 }),
+            room: ControlCapacity(if at.is_multiple_of(5) {
+                10
+            } else {
+                20 + rng.random_range(0..3) * 40
+            }),
             name: rng.random(),
             started: Duration::from_millis(rng.random_range(0..5_000)),
             joined: None,
@@ -100,7 +104,7 @@
         let late = LOOK * (self.told.len() as u32 - 1);
         View {
             up: self.now - host.started,
-            vacant: self.now - host.occupied,
+            without_candidate: self.now - host.occupied,
             round: ROUND,
             pending: self.pending,
             rank: (host.room(self.now), host.name),
@@ -114,8 +118,8 @@
         let now = self.now;
         let tell = |host: &Host| {
             let rank = (host.room(now), host.name);
-            (host.up && now >= host.started).then(|| Other {
-                stance: host.stance(now),
+            (host.up && now >= host.started).then(|| OtherHost {
+                candidate_status: host.candidate_status(now),
                 rank,
                 errors: host.errors(now),
             })
@@ -141,7 +145,7 @@
         if !answers {
             host.error = Some(now);
         }
-        if view.standing() > 0 || host.occupied < host.started {
+        if view.candidates() > 0 || host.occupied < host.started {
             host.occupied = now;
         }
         match (host.joined, answers) {
@@ -155,8 +159,8 @@
             }
             (Some(_), false) => {
                 let lapse = host.confirmed.map(|at| now - at).filter(|lapse| *lapse >= LEASE);
-                if lapse.is_some_and(|lapse| view.rests(lapse)) {
-                    host.rest = now + REST;
+                if lapse.is_some_and(|lapse| view.must_cool_down(lapse)) {
+                    host.rest = now + COOL_DOWN;
                     host.stop();
                 }
             }
@@ -171,7 +175,7 @@
     }
 
     /// Hosts that the store confirms.
-    fn standing(&self) -> Vec<usize> {
+    fn candidates(&self) -> Vec<usize> {
         let stands = |at: &usize| {
             let host = &self.hosts[*at];
             let confirmed = host.confirmed.is_some_and(|at| self.now < at + LEASE);
@@ -183,7 +187,7 @@
     /// How long it takes until some host stands.
     fn until_one_stands(&mut self) -> Duration {
         let begun = self.now;
-        while self.standing().is_empty() {
+        while self.candidates().is_empty() {
             self.step();
             assert!(self.now < begun + Duration::from_secs(60), "nobody stands");
         }
@@ -199,11 +203,11 @@
 fn the_hosts_with_the_most_room_stand_and_no_others() {
     let mut site = Site::start(1);
     site.play(SETTLED);
-    let standing = site.standing();
-    assert!(standing.len() <= CANDIDATES + 2, "{} stand", standing.len());
-    assert!(standing.len() >= CANDIDATES, "{} stand", standing.len());
+    let standing = site.candidates();
+    assert!(standing.len() <= PREFERRED_CANDIDATES + 2, "{} stand", standing.len());
+    assert!(standing.len() >= PREFERRED_CANDIDATES, "{} stand", standing.len());
     let least = standing.iter().map(|at| site.hosts[*at].room).min();
-    assert_eq!(least, Some(Room(100)), "one with less room stands");
+    assert_eq!(least, Some(ControlCapacity(100)), "one with less room stands");
 }
 
 #[test]
@@ -212,7 +216,7 @@
         let mut site = Site::start(2);
         site.play(SETTLED);
         site.pending = pending;
-        for at in site.standing() {
+        for at in site.candidates() {
             site.hosts[at].up = false;
         }
         let took = site.until_one_stands();
@@ -229,7 +233,7 @@
     for step in 0..600 {
         if step % 10 == 0 {
             // One of those that stand stops, and is back ten seconds later.
-            let standing = site.standing();
+            let standing = site.candidates();
             let at = standing[rng.random_range(0..standing.len())];
             (site.hosts[at].up, site.hosts[at].started) =
                 (false, site.now + Duration::from_secs(10));
@@ -240,13 +244,13 @@
             site.hosts[at].up = site.now >= site.hosts[at].started;
         }
         site.step();
-        let standing = site.standing().len();
+        let standing = site.candidates().len();
         assert!(standing > 0, "nobody stands at {:?}", site.now);
         most = most.max(standing);
     }
     // Each that stops is replaced, and stands again before its substitute,
     // which heard of it, leaves.
-    assert!(most <= CANDIDATES + 8, "{most} stood");
+    assert!(most <= PREFERRED_CANDIDATES + 8, "{most} stood");
 }
 
 #[test]
@@ -256,26 +260,29 @@
     site.outage = true;
     site.pending = true;
     site.play(Duration::from_secs(20));
-    assert!(site.standing().is_empty());
+    assert!(site.candidates().is_empty());
     site.outage = false;
     let took = site.until_one_stands();
     assert!(took <= LOOK * 2, "nobody stood for {took:?}");
     site.play(SETTLED);
-    let standing = site.standing().len();
-    assert!((CANDIDATES..=CANDIDATES + 8).contains(&standing), "{standing} stand later");
+    let standing = site.candidates().len();
+    assert!(
+        (PREFERRED_CANDIDATES..=PREFERRED_CANDIDATES + 8).contains(&standing),
+        "{standing} stand later"
+    );
 }
 
 #[test]
 fn a_host_that_lost_its_membership_alone_rests_and_returns() {
     let mut site = Site::start(5);
     site.play(SETTLED);
-    let at = site.standing()[0];
+    let at = site.candidates()[0];
     site.hosts[at].cut = true;
     site.play(LEASE + LOOK * 2);
     assert!(site.hosts[at].joined.is_none(), "it still stands");
     site.hosts[at].cut = false;
-    site.play(REST / 2);
-    assert!(!site.standing().contains(&at), "it does not rest");
-    site.play(REST / 2 + Duration::from_secs(10));
-    assert!(site.standing().contains(&at), "it has not returned");
+    site.play(COOL_DOWN / 2);
+    assert!(!site.candidates().contains(&at), "it does not rest");
+    site.play(COOL_DOWN / 2 + Duration::from_secs(10));
+    assert!(site.candidates().contains(&at), "it has not returned");
 }
--- a/crates/core/tests/deadly.rs
+++ b/crates/core/tests/deadly.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use marjoram_core::fingerprint::Fingerprint;
-use marjoram_core::poison::{CRASHES, CrashReport, Suspects};
+use marjoram_core::poison::{CrashReport, MIN_CRASHES, Suspects};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -34,8 +34,8 @@
 const SPREAD: Duration = Duration::from_millis(100);
 
 /// Crashes under one deadly request at most, and under all of them on average.
-const MOST_CRASHES: usize = 4 * CRASHES;
-const MEAN_CRASHES: usize = CRASHES + 2;
+const MOST_CRASHES: usize = 4 * MIN_CRASHES;
+const MEAN_CRASHES: usize = MIN_CRASHES + 2;
 
 /// Time after the last new deadly request in which they all are found.
 const SOON: Duration = Duration::from_secs(4);
@@ -242,7 +242,7 @@
         }
         self.played.most = self.played.most.max(self.suspects.len());
         for (request, upstreams) in self.suspects.detect(now) {
-            assert!(upstreams.len() >= CRASHES);
+            assert!(upstreams.len() >= MIN_CRASHES);
             self.refused.insert(request.0, now + SPREAD);
             self.played.found.insert(request.0);
         }
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -6,7 +6,8 @@
 
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::poison::{
-    Admission, CRASHES, CrashReport, Quarantine, Quarantined, SETTLE, Suspects, TERM,
+    Admission, CRASH_REPORT_WINDOW, CrashReport, MIN_CRASHES, QUARANTINE_TERM, Quarantine,
+    Quarantined, Suspects,
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -32,7 +33,7 @@
     for (n, e) in reports.iter().enumerate() {
         suspects.add(e, seconds(n as u64));
     }
-    let found = suspects.detect(seconds(reports.len() as u64) + SETTLE);
+    let found = suspects.detect(seconds(reports.len() as u64) + CRASH_REPORT_WINDOW);
     found.into_iter().map(|(request, _)| request).collect()
 }
 
@@ -52,8 +53,8 @@
         suspects.add(&seen(POISON, upstream, upstream), seconds(9));
     }
     assert!(suspects.is_pending());
-    assert_eq!(suspects.detect(seconds(9) + SETTLE / 2), []);
-    assert_eq!(suspects.detect(seconds(9) + SETTLE).len(), 1);
+    assert_eq!(suspects.detect(seconds(9) + CRASH_REPORT_WINDOW / 2), []);
+    assert_eq!(suspects.detect(seconds(9) + CRASH_REPORT_WINDOW).len(), 1);
     assert!(!suspects.is_pending());
 }
 
@@ -103,10 +104,10 @@
     // Either may be an innocent one.
     assert_eq!(found(&mut suspects, &reports), []);
     suspects.add(&seen(POISON, 4, 4), seconds(20));
-    let next = suspects.detect(seconds(20) + SETTLE);
+    let next = suspects.detect(seconds(20) + CRASH_REPORT_WINDOW);
     assert_eq!(next, [(POISON, vec![1, 2, 3, 4])]);
     suspects.add(&seen(Fingerprint(1), 5, 5), seconds(21));
-    assert_eq!(suspects.detect(seconds(21) + SETTLE), []);
+    assert_eq!(suspects.detect(seconds(21) + CRASH_REPORT_WINDOW), []);
 }
 
 /// Hosts differ in when they report, and one is found at five crashes in any case.
@@ -173,7 +174,7 @@
     }
     let at = Duration::from_millis(1_163);
     suspects.add(&CrashReport { at, ..seen(POISON, 5, 12) }, at);
-    let found = suspects.detect(at + SETTLE);
+    let found = suspects.detect(at + CRASH_REPORT_WINDOW);
     assert_eq!(found, [(POISON, vec![1, 2, 6, 5])]);
 }
 
@@ -204,11 +205,11 @@
         suspects.add(&seen(POISON, upstream, upstream), seconds(1));
         suspects.add(&seen(other, upstream, upstream), seconds(1));
     }
-    assert!(suspects.withholds(POISON) && suspects.is_unjudged());
-    assert_eq!(suspects.detect(seconds(1) + SETTLE / 2), []);
+    assert!(suspects.withholds(POISON) && suspects.has_unevaluated());
+    assert_eq!(suspects.detect(seconds(1) + CRASH_REPORT_WINDOW / 2), []);
     assert!(suspects.withholds(POISON));
-    assert_eq!(suspects.detect(seconds(1) + SETTLE), []);
-    assert!(!suspects.withholds(POISON) && !suspects.is_unjudged());
+    assert_eq!(suspects.detect(seconds(1) + CRASH_REPORT_WINDOW), []);
+    assert!(!suspects.withholds(POISON) && !suspects.has_unevaluated());
     suspects.add(&seen(POISON, 4, 4), seconds(2));
     assert!(suspects.withholds(POISON) && !suspects.withholds(other));
 }
@@ -233,7 +234,7 @@
         let well = Some(Duration::from_millis(400));
         let report = CrashReport { well, ..seen(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
-        assert_eq!(suspects.detect(seconds(upstream) + SETTLE), []);
+        assert_eq!(suspects.detect(seconds(upstream) + CRASH_REPORT_WINDOW), []);
     }
     // It ran well for the last time shortly before these crashes.
     for upstream in 21..=25 {
@@ -241,7 +242,7 @@
         let report = CrashReport { well, ..seen(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
     }
-    assert_eq!(suspects.detect(seconds(25) + SETTLE).len(), 1);
+    assert_eq!(suspects.detect(seconds(25) + CRASH_REPORT_WINDOW).len(), 1);
 }
 
 /// A host that was suspended reads all reports of that time at once.
@@ -258,7 +259,7 @@
     for index in order {
         suspects.add(&reports[*index], seconds(29));
     }
-    assert_eq!(suspects.detect(seconds(29) + SETTLE), []);
+    assert_eq!(suspects.detect(seconds(29) + CRASH_REPORT_WINDOW), []);
 }
 
 /// Good runs long ago do not count: what runs the request may have changed.
@@ -370,7 +371,9 @@
         sent_on = moved;
         there.iter().for_each(|report| suspects.add(report, now));
         most = most.max(suspects.len());
-        found.extend(suspects.detect(now + SETTLE).into_iter().map(|(request, _)| request));
+        found.extend(
+            suspects.detect(now + CRASH_REPORT_WINDOW).into_iter().map(|(request, _)| request),
+        );
     }
     Played { found, beside: next - FIRST_BESIDE, crashes, most }
 }
@@ -380,7 +383,7 @@
     for seed in 0..200 {
         let played = burst(seed, 1);
         assert_eq!(played.found, [POISON], "seed {seed}");
-        assert_eq!(played.crashes, [CRASHES], "seed {seed}");
+        assert_eq!(played.crashes, [MIN_CRASHES], "seed {seed}");
         assert!(played.most <= 4_096 + 1_024, "seed {seed}: {} remembered", played.most);
     }
 }
@@ -393,7 +396,7 @@
         beside += played.beside;
         wrong += played.found.iter().filter(|r| r.0 >= FIRST_BESIDE).count() as u64;
         assert!(
-            played.crashes.iter().all(|c| *c <= CRASHES + 3),
+            played.crashes.iter().all(|c| *c <= MIN_CRASHES + 3),
             "seed {seed}: {:?}",
             played.crashes
         );
@@ -427,8 +430,8 @@
         for (n, (request, upstream, attempt)) in crashes.iter().enumerate() {
             let now = seconds(n as u64);
             suspects.add(&seen(Fingerprint(*request), *upstream, *attempt), now);
-            for (request, upstreams) in suspects.detect(now + SETTLE) {
-                prop_assert!(upstreams.len() >= CRASHES);
+            for (request, upstreams) in suspects.detect(now + CRASH_REPORT_WINDOW) {
+                prop_assert!(upstreams.len() >= MIN_CRASHES);
                 let met = crashes[..=n].iter().filter(|(r, ..)| Fingerprint(*r) == request);
                 let met: Vec<u64> = met.map(|(_, upstream, _)| *upstream).collect();
                 prop_assert!(upstreams.iter().all(|u| met.contains(u)));
@@ -448,29 +451,29 @@
     let (mut quarantine, begun) = (Quarantine::new(), seconds(1_000_000));
     quarantine.admit(entry(0, begun), begun);
     let crash = seen(POISON, 4, 4);
-    assert_eq!(quarantine.again(&crash, begun + TERM / 2), None);
-    let later = begun + TERM + seconds(5);
+    assert_eq!(quarantine.recurrence(&crash, begun + QUARANTINE_TERM / 2), None);
+    let later = begun + QUARANTINE_TERM + seconds(5);
     assert_eq!(quarantine.refuses(POISON, later), None);
-    let again = quarantine.again(&crash, later).expect("it is remembered");
+    let again = quarantine.recurrence(&crash, later).expect("it is remembered");
     assert_eq!(quarantine.admit(again.clone(), later), Admission::New(None));
-    assert_eq!(quarantine.refuses(POISON, later), Some(TERM * 2));
+    assert_eq!(quarantine.refuses(POISON, later), Some(QUARANTINE_TERM * 2));
     // An older entry from another host changes nothing.
     assert_eq!(quarantine.admit(entry(0, begun), later), Admission::Known);
-    assert_eq!(quarantine.extent(), 2);
+    assert_eq!(quarantine.detection_count(), 2);
 }
 
 #[test]
 fn a_request_that_ran_to_its_end_after_its_term_is_not_kept_away_by_one_more_crash() {
     let (mut quarantine, begun) = (Quarantine::new(), seconds(1_000_000));
     quarantine.admit(entry(0, begun), begun);
-    let now = begun + TERM + seconds(5);
+    let now = begun + QUARANTINE_TERM + seconds(5);
     let fixed = CrashReport { well: Some(seconds(2)), ..seen(POISON, 4, 4) };
-    assert_eq!(quarantine.again(&fixed, now), None);
-    let long_ago = CrashReport { well: Some(TERM * 2), ..seen(POISON, 4, 4) };
-    assert!(quarantine.again(&long_ago, now).is_some());
+    assert_eq!(quarantine.recurrence(&fixed, now), None);
+    let long_ago = CrashReport { well: Some(QUARANTINE_TERM * 2), ..seen(POISON, 4, 4) };
+    assert!(quarantine.recurrence(&long_ago, now).is_some());
     // And after a day it is forgotten.
-    assert_eq!(quarantine.expire(begun + TERM * 30), [POISON]);
-    assert_eq!(quarantine.admit(entry(0, begun), begun + TERM * 30), Admission::Over);
+    assert_eq!(quarantine.expire(begun + QUARANTINE_TERM * 30), [POISON]);
+    assert_eq!(quarantine.admit(entry(0, begun), begun + QUARANTINE_TERM * 30), Admission::Over);
 }
 
 #[test]
--- a/crates/core/tests/quota_model/world.rs
+++ b/crates/core/tests/quota_model/world.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use marjoram_core::quota::gate::{Admission, Gate};
-use marjoram_core::quota::ledger::{Hosts, Ledger, Sender, Usage, Verdict};
-use marjoram_core::quota::{ACCOUNTS, Limit, REPORT_INTERVAL, RESERVED};
+use marjoram_core::quota::ledger::{Allocation, Hosts, Ledger, Sender, Usage};
+use marjoram_core::quota::{COORDINATORS, Limit, REPORT_INTERVAL, RESERVATION_TIME};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -228,7 +228,7 @@
             let last = host.heard.get(&other);
             match last {
                 Some(at) if self.now < *at + PATIENCE => heard += 1,
-                _ if self.now < *last.unwrap_or(&host.entered) + RESERVED => {
+                _ if self.now < *last.unwrap_or(&host.entered) + RESERVATION_TIME => {
                     silent.insert(other as u64);
                 }
                 _ => {}
@@ -243,7 +243,7 @@
         let heard = &self.hosts[n].heard;
         let is_heard =
             |m: &usize| *m == n || heard.get(m).is_some_and(|at| self.now < *at + PATIENCE);
-        (0..self.hosts.len()).filter(is_heard).take(ACCOUNTS).collect()
+        (0..self.hosts.len()).filter(is_heard).take(COORDINATORS).collect()
     }
 
     fn report(&mut self) {
@@ -254,7 +254,7 @@
             let (hosts, limit) = (self.reach(n), self.limit());
             let host = &mut self.hosts[n];
             let own = self.now - host.started;
-            host.ledger.settle(WORKSPACE, &limit, &hosts, own);
+            host.ledger.advance(WORKSPACE, &limit, &hosts, own);
             host.hosts = hosts;
             let usages = host.gate.usages(limit.tolerance.window, own);
             let sender = Sender { host: n as u64, life: host.life };
@@ -262,25 +262,25 @@
                 if !self.reaches(n, to) {
                     continue;
                 }
-                let Some(verdict) = self.account(to, sender, &usages) else { continue };
+                let Some(allocation) = self.account(to, sender, &usages) else { continue };
                 if self.reaches(to, n) {
-                    self.hosts[n].gate.hear(to as u64, verdict, own);
+                    self.hosts[n].gate.apply(to as u64, allocation, own);
                 }
             }
         }
     }
 
-    fn account(&mut self, at: usize, sender: Sender, usages: &[Usage]) -> Option<Verdict> {
+    fn account(&mut self, at: usize, sender: Sender, usages: &[Usage]) -> Option<Allocation> {
         let host = &mut self.hosts[at];
         let own = self.now - host.started;
         for usage in usages {
             host.ledger.report(sender, usage, own);
         }
-        if !host.ledger.is_settled(WORKSPACE) {
+        if !host.ledger.is_initialized(WORKSPACE) {
             let limit = self.limits.last().expect("the first one").1;
-            host.ledger.settle(WORKSPACE, &limit, &host.hosts, own);
+            host.ledger.advance(WORKSPACE, &limit, &host.hosts, own);
         }
-        host.ledger.verdict(WORKSPACE, sender.host).filter(|_| host.hosts.may_account())
+        host.ledger.allocation(WORKSPACE, sender.host).filter(|_| host.hosts.can_coordinate())
     }
 
     /// What callers ask in one step.
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -7,7 +7,7 @@
 use marjoram_core::pace::{
     CALL_BYTES, CallLimiter, LinkSpeed, MAX_CONCURRENT_CALLS, MIN_POLL_INTERVAL,
 };
-use marjoram_core::rollout::{self, Named};
+use marjoram_core::rollout::{self, AnnouncedVersions};
 use marjoram_core::spread::fan_out;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -122,14 +122,14 @@
 /// Plays until all engines serve the newest version, or `longest`.
 pub fn play(play: &Play, longest: f64) -> Outcome {
     let mut model = Model::new(play.clone());
-    let (mut named, mut outcome) = (Named::new(), Outcome::default());
+    let (mut named, mut outcome) = (AnnouncedVersions::new(), Outcome::default());
     let (mut look, mut message) = (0.0, 0.0);
     let newest = play.named.len() as u64 + 1;
     while model.now < longest {
         let now = model.now;
         for (version, at) in play.named.iter().enumerate() {
             if now >= *at {
-                named.name(version as u64 + 2, secs(now));
+                named.record_announced(version as u64 + 2, secs(now));
             }
         }
         if let Some(version) = named.newest().filter(|_| now >= look) {
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -129,7 +129,7 @@
             .collect();
         if self.crashed || node.poison.is_suspect(self.fingerprint) {
             let keys: Vec<u64> = engines.iter().map(|(engine, _)| engine.key).collect();
-            let apart = poison::apart(self.fingerprint, &keys);
+            let apart = poison::retry_upstreams(self.fingerprint, &keys);
             engines = apart.into_iter().map(|i| engines[i]).collect();
         }
         let candidates: Vec<Candidate> = engines
--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -5,7 +5,7 @@
 //! the store assigns the group's only partition. The store decides, keeps the
 //! lease and numbers each reassignment; that number is the fencing token. When a
 //! host that was assigned leadership may send orders is decided by
-//! [`marjoram_core::tenure`]. Each order names the incarnation of the engine and
+//! [`marjoram_core::leadership`]. Each order names the incarnation of the engine and
 //! the number of orders that it has accepted, so an order that arrives late has
 //! no effect.
 
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::candidacy::{self, Unreached};
+use marjoram_core::candidacy::{self, UnreachableEngine};
 use marjoram_core::era::Token;
+use marjoram_core::leadership::{LeaderTerm, LeadershipChange, ORDER_MARGIN};
 use marjoram_core::pace::{self, CallLimiter};
-use marjoram_core::rollout::{self, Named};
-use marjoram_core::tenure::{Dealt, MARGIN, Tenure};
+use marjoram_core::rollout::{self, AnnouncedVersions};
 use marjoram_core::upstream::{Life, Weights};
 use marjoram_platform::store;
 use tokio::sync::{Semaphore, SemaphorePermit};
@@ -78,7 +78,7 @@
 pub struct Leadership {
     site: Rc<Site>,
     /// This host's leadership term, on the clock of [`clock::now`].
-    tenure: RefCell<Tenure>,
+    leader_term: RefCell<LeaderTerm>,
     /// Set once the host has left the group for good, when the process stops.
     released: Cell<bool>,
     engine_states: RefCell<HashMap<Life, EngineState>>,
@@ -99,7 +99,7 @@
 pub fn start(site: &Rc<Site>) -> Rc<Leadership> {
     let leadership = Rc::new(Leadership {
         site: site.clone(),
-        tenure: RefCell::new(Tenure::new(lease(site))),
+        leader_term: RefCell::new(LeaderTerm::new(lease(site))),
         released: Cell::default(),
         engine_states: RefCell::default(),
         call_limit: Semaphore::new(pace::MAX_CONCURRENT_CALLS),
@@ -125,10 +125,10 @@
 /// orders in flight arrive before the store can assign leadership to another
 /// host.
 async fn leave(leadership: &Leadership) {
-    let held = leadership.tenure.borrow().is_held();
-    leadership.tenure.borrow_mut().release();
+    let held = leadership.leader_term.borrow().is_held();
+    leadership.leader_term.borrow_mut().release();
     if held {
-        tokio::time::sleep(MARGIN).await;
+        tokio::time::sleep(ORDER_MARGIN).await;
     }
     let settings = leadership.site.settings.load_full();
     let leave = store::leave(GROUP, &settings.name);
@@ -161,9 +161,15 @@
     /// assigned leadership to this host.
     fn handle_assignment(self: &Rc<Self>, held: bool, token: Token, asked: Duration) {
         let now = clock::now();
-        match self.tenure.borrow_mut().dealt(held, token, asked, now, self.term_gap()) {
-            Dealt::Unchanged => {}
-            Dealt::Taken { token, since } => {
+        match self.leader_term.borrow_mut().on_store_answer(
+            held,
+            token,
+            asked,
+            now,
+            self.term_gap(),
+        ) {
+            LeadershipChange::Unchanged => {}
+            LeadershipChange::Gained { token, since } => {
                 let settled_ms = now.saturating_sub(since).as_millis() as u64;
                 tracing::info!(target: "duty", token = token.number(), settled_ms,
                     "became leader of weights rollouts");
@@ -172,7 +178,7 @@
                     ntex::rt::spawn(take_over(self.clone()));
                 }
             }
-            Dealt::Lost { token } => {
+            LeadershipChange::Lost { token } => {
                 tracing::info!(target: "duty", token = token.number(),
                     "lost leadership of weights rollouts")
             }
@@ -187,7 +193,7 @@
 
     /// The fencing token, while this host may send orders.
     fn token(&self) -> Option<Token> {
-        self.tenure.borrow().token(clock::now(), self.term_gap())
+        self.leader_term.borrow().token(clock::now(), self.term_gap())
     }
 
     /// Waits until a call to an engine may begin. The call counts as in progress
@@ -253,9 +259,11 @@
         };
         known.unreachable_since = known.unreachable_since.map(|_| since);
         let used = upstream.others.get().running > 0;
-        known.unreachable_since.map(|since| Unreached { tried: now.saturating_sub(since), used })
+        known
+            .unreachable_since
+            .map(|since| UnreachableEngine { tried: now.saturating_sub(since), used })
     });
-    let has_other_candidates = membership::view(site).standing() > 0;
+    let has_other_candidates = membership::view(site).candidates() > 0;
     if candidacy::hands_over(unreached, changing, has_other_candidates) {
         leadership.hand_over_requested.set(true);
     }
@@ -269,7 +277,7 @@
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
         let totals = site.traffic.totals();
-        if leadership.tenure.borrow().is_held() && is_rollout_pending(site) {
+        if leadership.leader_term.borrow().is_held() && is_rollout_pending(site) {
             let changing = leadership
                 .engine_states
                 .borrow()
@@ -323,7 +331,7 @@
 /// the order.
 async fn take_over(leadership: Rc<Leadership>) {
     let site = &leadership.site;
-    while leadership.tenure.borrow().is_held() && leadership.token().is_none() {
+    while leadership.leader_term.borrow().is_held() && leadership.token().is_none() {
         for weights in newest_weights(site) {
             let behind = |u: &Rc<Upstream>| {
                 u.is_closed(site.now()) && u.weights(&weights.model) < Some(weights.version)
@@ -347,7 +355,7 @@
 /// The newest announced weights version of each model.
 fn newest_weights(site: &Site) -> Vec<Weights> {
     let named = site.named.borrow();
-    let newest = |(model, named): (&String, &Named)| {
+    let newest = |(model, named): (&String, &AnnouncedVersions)| {
         Some(Weights { model: model.clone(), version: named.newest()? })
     };
     named.iter().filter_map(newest).collect()
--- a/crates/router/src/proxy/duty/membership.rs
+++ b/crates/router/src/proxy/duty/membership.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::candidacy::{REST, View};
+use marjoram_core::candidacy::{COOL_DOWN, View};
 use marjoram_core::era::Token;
-use marjoram_core::tenure::Stance;
+use marjoram_core::leadership::CandidateStatus;
 use marjoram_platform::store::{self, Membership};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
     let now = site.now();
     View {
         up: now,
-        vacant: Duration::ZERO,
+        without_candidate: Duration::ZERO,
         round: site.peers.heartbeat_round(),
         pending: is_rollout_pending(site),
         rank: (site.room(), xxh3_64(site.settings.load().name.as_bytes())),
@@ -69,7 +69,7 @@
     while !leadership.released.get() {
         wait_to_join(&leadership).await;
         let end = maintain_membership(&leadership).await;
-        site.stance.set(Stance::Idle);
+        site.candidate_status.set(CandidateStatus::NotMember);
         match end {
             End::Released => return,
             End::Lapsed | End::OutOfReach => defer_to_others(&leadership),
@@ -82,7 +82,7 @@
 
 /// Leaves leadership to hosts with a better link for a while.
 fn defer_to_others(leadership: &Leadership) {
-    leadership.site.no_leadership_until.set(leadership.site.now() + REST);
+    leadership.site.no_leadership_until.set(leadership.site.now() + COOL_DOWN);
 }
 
 async fn wait_to_join(leadership: &Leadership) {
@@ -91,10 +91,10 @@
     loop {
         let now = site.now();
         let mut view = view(site);
-        if view.standing() > 0 {
+        if view.candidates() > 0 {
             occupied = now;
         }
-        view.vacant = now - occupied;
+        view.without_candidate = now - occupied;
         // A leader that knows no engines yet would order nothing.
         let knows_engines = site.catalog().is_some() && site.listed.get();
         let is_informed = knows_engines && now >= STARTUP_DELAY + view.round;
@@ -118,7 +118,12 @@
     let mut was_down = false;
     let mut before = site.traffic.totals();
     while !leadership.released.get() {
-        site.stance.set(Stance::new(Some(joined), confirmed, lease(site), site.now()));
+        site.candidate_status.set(CandidateStatus::new(
+            Some(joined),
+            confirmed,
+            lease(site),
+            site.now(),
+        ));
         let asked = clock::now();
         let lapse = asked.saturating_sub(renewed);
         if lapse >= lease(site) && confirmed.is_some() && is_own_fault(site, lapse) {
@@ -141,7 +146,7 @@
                 if clock::now().saturating_sub(asked) > SLOW {
                     site.note_store_error();
                 }
-                site.stance.set(Stance::Stands);
+                site.candidate_status.set(CandidateStatus::Candidate);
                 leadership.handle_assignment(
                     membership.parts.contains(&LEADER_PARTITION),
                     token,
@@ -158,13 +163,13 @@
                 continue;
             }
         }
-        if leadership.hand_over_requested.take() && leadership.tenure.borrow().is_held() {
+        if leadership.hand_over_requested.take() && leadership.leader_term.borrow().is_held() {
             return End::OutOfReach;
         }
         if view(site).leaves() {
             return End::Unneeded;
         }
-        let pause = leadership.tenure.borrow().pause(
+        let pause = leadership.leader_term.borrow().renewal_delay(
             clock::now(),
             leadership.term_gap(),
             RENEWALS_PER_LEASE,
@@ -199,7 +204,7 @@
 /// host's own fault. A host that receives no other host's heartbeats is itself
 /// cut off.
 fn is_own_fault(site: &Site, lapse: Duration) -> bool {
-    site.peers.count() > 1 && view(site).rests(lapse)
+    site.peers.count() > 1 && view(site).must_cool_down(lapse)
 }
 
 fn log_unconfirmed(
@@ -211,6 +216,6 @@
     let site = &leadership.site;
     let traffic = site.traffic.totals().since(before);
     let confirmed_ms = confirmed.map(|at| (site.now() - at).as_millis() as u64);
-    tracing::warn!(target: "duty", why, confirmed_ms, held = leadership.tenure.borrow().is_held(),
+    tracing::warn!(target: "duty", why, confirmed_ms, held = leadership.leader_term.borrow().is_held(),
         ?traffic, "membership of the candidate group not confirmed");
 }
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -78,8 +78,8 @@
     let mut all = site.named.borrow_mut();
     let named = all.entry(model.to_string()).or_default();
     let is_new = match fresh {
-        true => named.name(version, site.now()),
-        false => named.found(version, site.now()),
+        true => named.record_announced(version, site.now()),
+        false => named.record_existing(version, site.now()),
     };
     if is_new {
         tracing::info!(target: "weights", model, version, source, "new weights version announced");
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::candidacy::{Other, Room};
+use marjoram_core::candidacy::{ControlCapacity, OtherHost};
 use marjoram_core::host::HostSettings;
+use marjoram_core::leadership::CandidateStatus;
 use marjoram_core::pace::LinkSpeed;
 use marjoram_core::place;
 use marjoram_core::quota::ledger::Hosts;
-use marjoram_core::tenure::Stance;
 use tokio::net::UdpSocket;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -55,8 +55,8 @@
     added: Duration,
     last_heartbeat: Option<Duration>,
     open: bool,
-    stance: Stance,
-    room: Room,
+    candidate_status: CandidateStatus,
+    room: ControlCapacity,
     store_error: Option<Duration>,
     loads: Vec<(u64, Load)>,
 }
@@ -119,8 +119,8 @@
                     added: now,
                     last_heartbeat: None,
                     open: false,
-                    stance: Stance::Idle,
-                    room: Room::default(),
+                    candidate_status: CandidateStatus::NotMember,
+                    room: ControlCapacity::default(),
                     store_error: None,
                     loads: Vec::new(),
                 };
@@ -135,12 +135,12 @@
     }
 
     /// The candidate status and rank of the other hosts that take callers.
-    pub fn others(&self) -> Vec<Other> {
+    pub fn others(&self) -> Vec<OtherHost> {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
         let others = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
-        let other = |(name, p): (&String, &Peer)| Other {
-            stance: p.stance,
+        let other = |(name, p): (&String, &Peer)| OtherHost {
+            candidate_status: p.candidate_status,
             rank: (p.room, xxh3_64(name.as_bytes())),
             errors: p.store_error.map(|at| now.saturating_sub(at)),
         };
@@ -158,7 +158,7 @@
 
     /// Whether this host, with capacity `room`, is among the `count` hosts with
     /// the most capacity, of those whose heartbeats are received.
-    pub fn has_most_capacity(&self, room: Room, count: usize) -> bool {
+    pub fn has_most_capacity(&self, room: ControlCapacity, count: usize) -> bool {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let own = (room, xxh3_64(self.name.as_bytes()));
         let known = self.known.borrow();
@@ -205,7 +205,12 @@
     /// The `count` hosts with the most capacity for `group`, of those that send
     /// heartbeats and take callers. This host is `None` in the result; it takes
     /// part with the capacity `own`, if given.
-    pub fn roomiest(&self, group: u64, count: usize, own: Option<Room>) -> Vec<Option<SocketAddr>> {
+    pub fn roomiest(
+        &self,
+        group: u64,
+        count: usize,
+        own: Option<ControlCapacity>,
+    ) -> Vec<Option<SocketAddr>> {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let rank = |name: &str, room| (room, place::rank(group, xxh3_64(name.as_bytes())));
         let known = self.known.borrow();
@@ -260,7 +265,7 @@
         }
         peer.last_heartbeat = Some(now);
         peer.open = heartbeat.open;
-        peer.stance = heartbeat.stance;
+        peer.candidate_status = heartbeat.candidate_status;
         peer.room = heartbeat.room;
         peer.store_error =
             heartbeat.store_error.map(|ms| now.saturating_sub(Duration::from_millis(ms)));
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use marjoram_core::candidacy::Room;
+use marjoram_core::candidacy::ControlCapacity;
+use marjoram_core::leadership::CandidateStatus;
 use marjoram_core::news::News;
 use marjoram_core::poison::{CrashReport, Quarantined};
-use marjoram_core::quota::ledger::{Sender, Usage, Verdict};
+use marjoram_core::quota::ledger::{Allocation, Sender, Usage};
 use marjoram_core::spread::Slice;
-use marjoram_core::tenure::Stance;
 use serde::{Deserialize, Serialize};
 
 use crate::proxy::fleet::Load;
@@ -42,7 +42,7 @@
     Usages(Sender, Vec<Usage>),
     /// What the receiver may admit for these workspaces. The number is the hash
     /// of the name of the host that keeps the account.
-    Verdicts(u64, Vec<Verdict>),
+    Allocations(u64, Vec<Allocation>),
     /// A message that the receiver is to process and to forward to a slice of the
     /// hosts.
     Forward(Slice, Box<Message>),
@@ -69,9 +69,9 @@
     /// What caches have recently added and evicted.
     pub news: Vec<News>,
     /// Whether it is a candidate for leadership of weights rollouts.
-    pub stance: Stance,
+    pub candidate_status: CandidateStatus,
     /// Its capacity for that leadership.
-    pub room: Room,
+    pub room: ControlCapacity,
     /// Milliseconds since its last store error.
     pub store_error: Option<u64>,
     /// Requests that it recently learnt to be in quarantine.
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -106,7 +106,9 @@
         Message::Crashes(reports) => poison::hear_reports(site, &reports),
         Message::Quarantine(entries) => poison::hear_quarantined(site, entries),
         Message::Usages(sender, usages) => quota::hear_usages(site, sender, &usages, from),
-        Message::Verdicts(account, verdicts) => quota::hear_verdicts(site, account, &verdicts),
+        Message::Allocations(account, allocations) => {
+            quota::hear_verdicts(site, account, &allocations)
+        }
         // A message is forwarded only once.
         Message::Forward(..) => {}
     }
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -30,7 +30,7 @@
         loads,
         announcement_ages: recent_announcement_ages(site),
         news: site.news.borrow_mut().lately(span, now),
-        stance: site.stance.get(),
+        candidate_status: site.candidate_status.get(),
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
         versions: warm::versions(site),
@@ -68,7 +68,7 @@
     let mut all = site.named.borrow_mut();
     for (model, version, age) in named {
         if let Some(known) = all.get_mut(model) {
-            known.told(*version, Duration::from_millis(*age), site.now());
+            known.record_reported(*version, Duration::from_millis(*age), site.now());
         }
     }
 }
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -178,7 +178,7 @@
         let report = CrashReport { at: report.at.min(wall), ..report.clone() };
         let (refused, again) = {
             let quarantine = poison.quarantine.borrow();
-            (quarantine.refuses(report.request, wall), quarantine.again(&report, wall))
+            (quarantine.refuses(report.request, wall), quarantine.recurrence(&report, wall))
         };
         match (refused, again) {
             (Some(_), _) => poison.suspects.borrow_mut().explain(&[report.upstream]),
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use marjoram_core::fingerprint::Fingerprint;
-use marjoram_core::poison::{Admission, Quarantined, SETTLE};
+use marjoram_core::poison::{Admission, CRASH_REPORT_WINDOW, Quarantined};
 
 use super::records;
 use crate::clock;
@@ -14,8 +14,8 @@
 
 /// Delay from the report with which a request may have reached the number of
 /// crashes for quarantine to the detection: reports of other hosts on the same
-/// crash arrive within [`SETTLE`].
-const DETECTION_DELAY: Duration = SETTLE.saturating_add(Duration::from_millis(5));
+/// crash arrive within [`CRASH_REPORT_WINDOW`].
+const DETECTION_DELAY: Duration = CRASH_REPORT_WINDOW.saturating_add(Duration::from_millis(5));
 
 /// How long after a reported crash bytes must arrive from an upstream to prove
 /// that it is alive: bytes that it sent before may be read late.
@@ -36,7 +36,7 @@
         let called = site.poison.called.get();
         tokio::time::sleep(DETECTION_DELAY).await;
         detect(&site);
-        let undecided = site.poison.suspects.borrow().is_unjudged();
+        let undecided = site.poison.suspects.borrow().has_unevaluated();
         if site.poison.called.get() == called && !undecided {
             site.poison.detecting.set(false);
             return;
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -11,8 +11,8 @@
 use marjoram_core::catalog::{Catalog, Workspace};
 use marjoram_core::exchange::Asked;
 use marjoram_core::quota::gate::{Admission, Mode};
-use marjoram_core::quota::ledger::{Sender, Usage, Verdict};
-use marjoram_core::quota::{ACCOUNTS, Limit, Quota, REPORT_INTERVAL, RESERVED, group};
+use marjoram_core::quota::ledger::{Allocation, Sender, Usage};
+use marjoram_core::quota::{COORDINATORS, Limit, Quota, REPORT_INTERVAL, RESERVATION_TIME, group};
 use marjoram_core::switches::Mechanism;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -101,7 +101,7 @@
         let first = tokio::time::timeout_at(next, site.quotas.first.notified()).await.is_ok();
         if let Some(catalog) = site.catalog().filter(|c| c.workspaces.is_some()) {
             let quotas = quotas(&catalog);
-            settle(&site, &quotas);
+            advance(&site, &quotas);
             report(&site, &quotas);
         }
         if first {
@@ -122,21 +122,21 @@
 }
 
 /// Updates the accounts that this host keeps as a coordinator to the present.
-fn settle(site: &Site, quotas: &HashMap<u64, (&Workspace, Quota)>) {
+fn advance(site: &Site, quotas: &HashMap<u64, (&Workspace, Quota)>) {
     let now = site.now();
-    let hosts = site.peers.reach(RESERVED);
+    let hosts = site.peers.reach(RESERVATION_TIME);
     let mut ledger = site.quotas.ledger.borrow_mut();
     ledger.retain(|workspace| quotas.contains_key(&workspace));
     for workspace in ledger.workspaces() {
         let Some((config, quota)) = quotas.get(&workspace) else { continue };
-        ledger.settle(workspace, &limit(site, *quota), &hosts, now);
-        let Some(standing) = ledger.standing(workspace, now) else { continue };
-        let limited = standing.pass < 1.0;
+        ledger.advance(workspace, &limit(site, *quota), &hosts, now);
+        let Some(status) = ledger.status(workspace, now) else { continue };
+        let limited = status.admission_ratio < 1.0;
         let before = site.quotas.limited.borrow_mut().insert(workspace, limited);
         if before.unwrap_or_default() != limited {
             tracing::info!(target: "quota", workspace = config.name, limited,
-                pass = standing.pass, level = standing.level, demand = standing.demand,
-                rate = quota.rate, reserved = standing.reserved, heard = hosts.heard,
+                pass = status.admission_ratio, level = status.level, demand = status.demand,
+                rate = quota.rate, reserved = status.reserved, heard = hosts.heard,
                 silent = hosts.silent.len(), "quota limiting of workspace started or ended");
         }
     }
@@ -155,7 +155,7 @@
     };
     if !site.has(Mechanism::QuotaCoordinators) {
         let hosts = site.peers.count();
-        return site.quotas.gate.borrow_mut().fix_shares(1.0 / hosts as f64);
+        return site.quotas.gate.borrow_mut().set_fixed_share(1.0 / hosts as f64);
     }
     let mut groups: HashMap<u64, Vec<Usage>> = HashMap::new();
     for usage in usages {
@@ -163,7 +163,7 @@
     }
     let own = site.is_ready().then(|| site.settings.load().capacity.room());
     for (group, usages) in groups {
-        for coordinator in site.peers.roomiest(group, ACCOUNTS, own) {
+        for coordinator in site.peers.roomiest(group, COORDINATORS, own) {
             for chunk in usages.chunks(MAX_BATCH) {
                 match coordinator {
                     Some(addr) => {
@@ -171,8 +171,8 @@
                         site.peers.send_to(addr, &message);
                     }
                     None => {
-                        let verdicts = account_for(site, sender(site), chunk);
-                        hear_verdicts(site, sender(site).host, &verdicts);
+                        let allocations = account_for(site, sender(site), chunk);
+                        hear_verdicts(site, sender(site).host, &allocations);
                     }
                 }
             }
@@ -183,41 +183,41 @@
 /// Applies the usages that the host at `from` reports, and answers with the
 /// verdicts on what it may admit.
 pub fn hear_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
-    let verdicts = account_for(site, sender, usages);
-    if !verdicts.is_empty() {
+    let allocations = account_for(site, sender, usages);
+    if !allocations.is_empty() {
         let own = self::sender(site).host;
-        site.peers.send_to(from, &Message::Verdicts(own, verdicts));
+        site.peers.send_to(from, &Message::Allocations(own, allocations));
     }
 }
 
 /// Applies usages reported by `sender` to the accounts kept here; returns the
 /// verdicts, or none while this host may not act as a coordinator. Accounts that
 /// these usages have opened are settled at once.
-fn account_for(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Verdict> {
+fn account_for(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Allocation> {
     let now = site.now();
     let mut ledger = site.quotas.ledger.borrow_mut();
     usages.iter().for_each(|usage| ledger.report(sender, usage, now));
     let hosts = site.quotas.hosts.borrow();
-    if !hosts.may_account() {
+    if !hosts.can_coordinate() {
         return Vec::new();
     }
-    let opened = |usage: &&Usage| !ledger.is_settled(usage.workspace);
+    let opened = |usage: &&Usage| !ledger.is_initialized(usage.workspace);
     let opened: Vec<u64> = usages.iter().filter(opened).map(|usage| usage.workspace).collect();
     if let Some(catalog) = site.catalog().filter(|_| !opened.is_empty()) {
         let quotas = quotas(&catalog);
         for workspace in opened {
             let Some((_, quota)) = quotas.get(&workspace) else { continue };
-            ledger.settle(workspace, &limit(site, *quota), &hosts, now);
+            ledger.advance(workspace, &limit(site, *quota), &hosts, now);
         }
     }
-    usages.iter().filter_map(|usage| ledger.verdict(usage.workspace, sender.host)).collect()
+    usages.iter().filter_map(|usage| ledger.allocation(usage.workspace, sender.host)).collect()
 }
 
 /// Applies the verdicts of the coordinator `account`, a hash of the host's name.
-pub fn hear_verdicts(site: &Site, account: u64, verdicts: &[Verdict]) {
+pub fn hear_verdicts(site: &Site, account: u64, allocations: &[Allocation]) {
     let now = site.now();
     let mut gate = site.quotas.gate.borrow_mut();
-    verdicts.iter().for_each(|verdict| gate.hear(account, *verdict, now));
+    allocations.iter().for_each(|allocation| gate.apply(account, *allocation, now));
 }
 
 /// State of the workspaces with quotas at this host, for the state dump.
@@ -228,13 +228,13 @@
     let ledger = site.quotas.ledger.borrow();
     let line = |(workspace, (config, quota)): (u64, (&Workspace, Quota))| {
         let (pass, alone) = match gate.mode(workspace, hosts, now) {
-            Some(Mode::Told(pass)) => (Some(pass), None),
-            Some(Mode::Alone(share)) => (None, Some(share)),
+            Some(Mode::ByRatio(pass)) => (Some(pass), None),
+            Some(Mode::ByShare(share)) => (None, Some(share)),
             None => (None, None),
         };
         let totals = gate.totals(workspace);
-        let account = ledger.standing(workspace, now).map(|s| {
-            serde_json::json!({ "pass": s.pass, "level": s.level, "demand": s.demand,
+        let account = ledger.status(workspace, now).map(|s| {
+            serde_json::json!({ "pass": s.admission_ratio, "level": s.level, "demand": s.demand,
                 "reserved": s.reserved })
         });
         serde_json::json!({ "workspace": config.name, "unit": quota.unit.to_string(),
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -16,7 +16,7 @@
 use marjoram_core::place::{self, Candidate, Choice, Copying, Need, WeightsAge};
 use marjoram_core::plain::{self, PlainUpstream};
 use marjoram_core::poison;
-use marjoram_core::rollout::Named;
+use marjoram_core::rollout::AnnouncedVersions;
 use marjoram_core::store_availability::StoreAvailability;
 use marjoram_core::switches::Mechanism;
 use marjoram_core::upstream::Life;
@@ -129,7 +129,7 @@
 /// time before an outage is not added to the time after it.
 struct ReplacedWeightsLimit {
     /// The versions announced for the model, and when.
-    announced: Named,
+    announced: AnnouncedVersions,
     /// Time after which replaced weights get no new requests: the operators'
     /// limit less [`WEIGHTS_MARGIN`].
     cutoff: Duration,
@@ -171,7 +171,7 @@
     /// `resumed`: the caller already has the beginning of the answer.
     ///
     /// A request that was in flight when an upstream crashed is first tried on
-    /// the few upstreams that [`poison::apart`] assigns to it, so that it can be
+    /// the few upstreams that [`poison::retry_upstreams`] assigns to it, so that it can be
     /// told from the others that were in flight there.
     pub(super) fn choose(&self, resumed: bool) -> Result<Chosen, Refusal> {
         let all = self.candidates();
@@ -188,7 +188,10 @@
     /// crash. Other requests of that crash are mostly assigned other upstreams.
     fn separate_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
         let places: Vec<u64> = all.iter().map(|u| u.place).collect();
-        poison::apart(self.fingerprint, &places).into_iter().map(|i| all[i].clone()).collect()
+        poison::retry_upstreams(self.fingerprint, &places)
+            .into_iter()
+            .map(|i| all[i].clone())
+            .collect()
     }
 
     /// Selects among `all`: by cached prompt parts and prefill work if the service
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -13,17 +13,17 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use marjoram_core::budget::{Allowance, Budget};
-use marjoram_core::candidacy::Room;
+use marjoram_core::candidacy::ControlCapacity;
 use marjoram_core::catalog::Catalog;
 use marjoram_core::era::Era;
 use marjoram_core::host::HostSettings;
+use marjoram_core::leadership::CandidateStatus;
 use marjoram_core::news::Digest;
 use marjoram_core::policy::PolicyName;
-use marjoram_core::rollout::Named;
+use marjoram_core::rollout::AnnouncedVersions;
 use marjoram_core::stop::Stop;
 use marjoram_core::store_availability::{self, StoreAvailability};
 use marjoram_core::switches::{Mechanism, Switches};
-use marjoram_core::tenure::Stance;
 use marjoram_core::upstream::Registry;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -57,7 +57,7 @@
     /// The other hosts.
     pub peers: Peers,
     /// Announced weights versions, by model.
-    pub named: RefCell<HashMap<String, Named>>,
+    pub named: RefCell<HashMap<String, AnnouncedVersions>>,
     /// The stores that hold prompt caches.
     pub stores: Stores,
     /// Cache updates to be sent to other hosts.
@@ -89,7 +89,7 @@
     /// Since when other hosts are known to have newer state.
     pub outdated_since: Cell<Option<Duration>>,
     /// This host's candidate status for leadership of weights rollouts.
-    pub stance: Cell<Stance>,
+    pub candidate_status: Cell<CandidateStatus>,
     /// Until when this host leaves that leadership to others.
     pub no_leadership_until: Cell<Duration>,
     /// Notified when the process stops accepting connections.
@@ -135,7 +135,7 @@
             store_error: Cell::default(),
             store_availability: RefCell::default(),
             outdated_since: Cell::default(),
-            stance: Cell::default(),
+            candidate_status: Cell::default(),
             no_leadership_until: Cell::default(),
             stop: Notify::new(),
             regained: Notify::new(),
@@ -161,9 +161,9 @@
     }
 
     /// This host's capacity for leadership of weights rollouts.
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> ControlCapacity {
         match self.now() < self.no_leadership_until.get() {
-            true => Room::default(),
+            true => ControlCapacity::default(),
             false => self.settings.load().capacity.room(),
         }
     }
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use marjoram_core::fingerprint::Fingerprint;
-use marjoram_core::poison::{Quarantine, Quarantined, Recent, Suspects};
+use marjoram_core::poison::{Quarantine, Quarantined, RecentCompletions, Suspects};
 use marjoram_core::upstream::Life;
 use tokio::sync::Notify;
 
@@ -33,7 +33,7 @@
     /// crashed.
     pub broken: RefCell<HashMap<Life, Vec<Broken>>>,
     /// Requests that completed recently.
-    pub well: RefCell<Recent>,
+    pub well: RefCell<RecentCompletions>,
     /// Quarantine entries learnt recently, for heartbeats.
     pub told: RefCell<Vec<(Quarantined, Duration)>>,
     /// Incremented when received reports may complete a suspect's crashes, so
@@ -50,7 +50,7 @@
 impl Poison {
     /// Records that `request` completed at `now`.
     pub fn ended_well(&self, request: Fingerprint, now: Duration) {
-        self.well.borrow_mut().note(request, now);
+        self.well.borrow_mut().record(request, now);
         self.suspects.borrow_mut().clear(request);
     }
 
@@ -77,7 +77,7 @@
     /// Number of times that requests were put in quarantine: equal on hosts that
     /// know the same entries.
     pub fn quarantine_version(&self) -> u64 {
-        self.quarantine.borrow().extent()
+        self.quarantine.borrow().detection_count()
     }
 
     /// The quarantine entries in force.
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -9,7 +9,8 @@
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::ids::Offset;
 use marjoram_core::poison::{
-    Admission, CrashReport, Quarantine, Quarantined, Recent, SETTLE, Suspects,
+    Admission, CRASH_REPORT_WINDOW, CrashReport, Quarantine, Quarantined, RecentCompletions,
+    Suspects,
 };
 use serde::{Deserialize, Serialize};
 
@@ -21,7 +22,7 @@
 /// Time after a crash within which all routers have appended their reports of requests
 /// in flight at the crash, and this router has read them (one read interval plus the
 /// settling time).
-pub const REPORT_WINDOW: Duration = READ_INTERVAL.saturating_add(SETTLE);
+pub const REPORT_WINDOW: Duration = READ_INTERVAL.saturating_add(CRASH_REPORT_WINDOW);
 /// Seconds after which an entry in force is appended again, because the log service
 /// keeps its records for a limited time.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(900);
@@ -53,7 +54,7 @@
 struct State {
     suspects: Suspects,
     quarantine: Quarantine,
-    completed: Recent,
+    completed: RecentCompletions,
     /// Broken completions by engine incarnation, for engines not yet checked for a crash.
     broken: HashMap<u64, Vec<BrokenCompletion>>,
     /// When each entry was last read from the stream or appended to it.
@@ -67,9 +68,9 @@
 impl Default for State {
     fn default() -> Self {
         Self {
-            suspects: Suspects::with_settle(REPORT_WINDOW),
+            suspects: Suspects::with_report_window(REPORT_WINDOW),
             quarantine: Quarantine::default(),
-            completed: Recent::default(),
+            completed: RecentCompletions::default(),
             broken: HashMap::new(),
             entry_times: HashMap::new(),
             pending_records: Vec::new(),
@@ -94,7 +95,7 @@
     /// Records that `request` completed, which clears it of suspicion.
     pub fn record_completed(&self, request: Fingerprint) {
         let mut state = self.state.lock().unwrap();
-        state.completed.note(request, clock::now());
+        state.completed.record(request, clock::now());
         state.suspects.clear(request);
     }
 
@@ -183,7 +184,7 @@
         let wall = clock::wall();
         for e in reports {
             let refused = state.quarantine.refuses(e.request, wall);
-            match (refused, state.quarantine.again(e, wall)) {
+            match (refused, state.quarantine.recurrence(e, wall)) {
                 (Some(_), _) => state.suspects.explain(&[e.upstream]),
                 (None, Some(entry)) => state.publish(entry),
                 (None, None) => state.suspects.add(e, clock::now()),
