--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::claims::{Answer, ClaimRecord, Claims};
 use marjoram_core::config::{Config, Record};
 use marjoram_core::fingerprint::Fingerprint;
@@ -80,19 +80,19 @@
     let _profiler = dhat::Profiler::builder().testing().build();
     for blocks in [100_000u64, 1_000_000] {
         let before = heap();
-        let picture = Picture::new();
+        let cache_index = CacheIndex::new();
         for start in (0..blocks).step_by(16) {
             let batch: Vec<BlockHash> = (start..start + 16)
                 .map(|i| BlockHash(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
                 .collect();
-            picture.stored(Slot((start % 12) as u8), Life::default(), &batch);
+            cache_index.stored(Slot((start % 12) as u8), CacheGeneration::default(), &batch);
         }
         let bytes = heap() - before;
         println!(
             "picture: {blocks} blocks, {bytes} bytes, {:.1} bytes a block",
             bytes as f64 / blocks as f64
         );
-        drop(picture);
+        drop(cache_index);
     }
     let before = heap();
     let mut config = Config::new();
--- a/crates/core/benches/routing.rs
+++ b/crates/core/benches/routing.rs
@@ -9,10 +9,10 @@
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::config::{Config, Record};
 use marjoram_core::ids::{BlockHash, ModelVersion, Offset, Tokens, WorkspaceId};
-use marjoram_core::policy::{Ask, Candidate, PolicyName, Router};
+use marjoram_core::policy::{Candidate, PolicyInput, PolicyName, Router};
 use marjoram_core::prefix::Prefix;
 
 const ENGINES: u8 = 12;
@@ -21,19 +21,19 @@
     (0..tokens).map(|i| format!("clause{i}")).collect::<Vec<_>>().join(" ")
 }
 
-fn filled_picture(prefix: &Prefix) -> Picture {
-    let picture = Picture::new();
+fn filled_picture(prefix: &Prefix) -> CacheIndex {
+    let cache_index = CacheIndex::new();
     for slot in 0..ENGINES {
         let held = prefix.blocks.len() * usize::from(slot) / usize::from(ENGINES);
-        picture.stored(Slot(slot), Life::default(), &prefix.blocks[..held]);
+        cache_index.stored(Slot(slot), CacheGeneration::default(), &prefix.blocks[..held]);
     }
-    picture
+    cache_index
 }
 
 fn pick(c: &mut Criterion) {
     let text = prompt(20_000);
     let ws: WorkspaceId = "kili-checks".parse().unwrap();
-    let picture = filled_picture(&Prefix::new(&text, &ws, ModelVersion(0)));
+    let cache_index = filled_picture(&Prefix::new(&text, &ws, ModelVersion(0)));
     let router = Router::new();
     let params = Default::default();
     let slots: Vec<Slot> = (0..ENGINES).map(Slot).collect();
@@ -42,7 +42,7 @@
         group.bench_function(name.to_string(), |b| {
             b.iter(|| {
                 let prefix = Prefix::new(black_box(&text), &ws, ModelVersion(0));
-                let matched = picture.matched(&prefix.blocks, &slots);
+                let matched = cache_index.matched(&prefix.blocks, &slots);
                 let candidates: Vec<Candidate> = slots
                     .iter()
                     .zip(matched)
@@ -54,7 +54,7 @@
                         matched: m,
                     })
                     .collect();
-                router.pick(name, Ask { prefix: &prefix, params: &params }, &candidates)
+                router.pick(name, PolicyInput { prefix: &prefix, params: &params }, &candidates)
             })
         });
     }
@@ -65,7 +65,7 @@
 }
 
 fn ingest(c: &mut Criterion) {
-    let picture = Picture::new();
+    let cache_index = CacheIndex::new();
     let mut next = 0u64;
     c.bench_function("ingest/stored_16", |b| {
         b.iter(|| {
@@ -73,9 +73,9 @@
                 .map(|i| BlockHash((next + i).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
                 .collect();
             next += 16;
-            picture.stored(Slot((next % 12) as u8), Life::default(), &blocks);
+            cache_index.stored(Slot((next % 12) as u8), CacheGeneration::default(), &blocks);
             if next.is_multiple_of(1 << 20) {
-                (0..12).for_each(|s| picture.clear(Slot(s)));
+                (0..12).for_each(|s| cache_index.clear(Slot(s)));
             }
         })
     });
--- a/crates/core/src/announce.rs
+++ b/crates/core/src/announce.rs
@@ -140,7 +140,7 @@
 
     /// Whether the latest state of the engine `key` has been sent at least once, or
     /// there is none.
-    pub fn is_told(&self, key: u64) -> bool {
+    pub fn is_announced(&self, key: u64) -> bool {
         self.entries.get(&key).is_none_or(|entry| entry.sent_count > 0)
     }
 }
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/broadcast.rs
@@ -24,10 +24,10 @@
 /// computes the same subset.
 ///
 /// ```
-/// use marjoram_core::spread::Slice;
+/// use marjoram_core::broadcast::Slice;
 /// let slices: Vec<Slice> = (0..4).map(|index| Slice { seed: 9, count: 4, index }).collect();
 /// // Each host is in exactly one of them.
-/// assert!((0..100u64).all(|host| slices.iter().filter(|s| s.holds(host)).count() == 1));
+/// assert!((0..100u64).all(|host| slices.iter().filter(|s| s.contains(host)).count() == 1));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slice {
@@ -41,7 +41,7 @@
 
 impl Slice {
     /// Whether the host with the hashed name `host` is in this slice.
-    pub fn holds(&self, host: u64) -> bool {
+    pub fn contains(&self, host: u64) -> bool {
         place::rank(self.seed, host) % u64::from(self.count.max(1)) == u64::from(self.index)
     }
 }
@@ -52,7 +52,7 @@
     /// Its hashed name.
     pub name: u64,
     /// A heartbeat of it was received recently, so it can be used as a relay.
-    pub heard: bool,
+    pub alive: bool,
 }
 
 /// One datagram of a message.
@@ -69,7 +69,7 @@
 /// `hosts` others.
 ///
 /// ```
-/// use marjoram_core::spread::fan_out;
+/// use marjoram_core::broadcast::fan_out;
 /// assert_eq!([8, 16, 69, 294, 409].map(fan_out), [8, 16, 9, 18, 21]);
 /// ```
 pub fn fan_out(hosts: usize) -> usize {
@@ -84,14 +84,14 @@
 /// are any in the slice.
 ///
 /// ```
-/// use marjoram_core::spread::{Host, fan_out, plan};
-/// let hosts: Vec<Host> = (0..294).map(|name| Host { name, heard: name % 3 > 0 }).collect();
-/// let legs = plan(&hosts, 7);
-/// assert!(legs.len() <= fan_out(hosts.len()));
+/// use marjoram_core::broadcast::{Host, fan_out, plan};
+/// let hosts: Vec<Host> = (0..294).map(|name| Host { name, alive: name % 3 > 0 }).collect();
+/// let datagrams = plan(&hosts, 7);
+/// assert!(datagrams.len() <= fan_out(hosts.len()));
 /// // The relays and the hosts they forward to are all hosts.
-/// let told = |host: &Host| legs.iter().any(|leg| leg.slice.unwrap().holds(host.name));
+/// let told = |host: &Host| datagrams.iter().any(|datagram| datagram.slice.unwrap().contains(host.name));
 /// assert!(hosts.iter().all(told));
-/// assert!(legs.iter().all(|leg| hosts[leg.to].heard));
+/// assert!(datagrams.iter().all(|datagram| hosts[datagram.to].alive));
 /// ```
 pub fn plan(hosts: &[Host], seed: u64) -> Vec<Datagram> {
     if hosts.len() <= MAX_DIRECT_HOSTS {
@@ -100,9 +100,9 @@
     let count = fan_out(hosts.len()) as u32;
     let relay = |index| {
         let slice = Slice { seed, count, index };
-        let members = (0..hosts.len()).filter(|at| slice.holds(hosts[*at].name));
+        let members = (0..hosts.len()).filter(|at| slice.contains(hosts[*at].name));
         let to =
-            members.max_by_key(|at| (hosts[*at].heard, place::rank(!seed, hosts[*at].name)))?;
+            members.max_by_key(|at| (hosts[*at].alive, place::rank(!seed, hosts[*at].name)))?;
         Some(Datagram { to, slice: Some(slice) })
     };
     (0..count).filter_map(relay).collect()
--- a/crates/core/src/cache.rs
+++ b/crates/core/src/cache.rs
@@ -51,7 +51,7 @@
 
 /// The engine process and weights that a slot's entries belong to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
-pub struct Life {
+pub struct CacheGeneration {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
     /// Version of the weights it serves.
@@ -69,24 +69,24 @@
 
 /// Index of the blocks that each engine has cached, as far as the router knows.
 #[derive(Debug)]
-pub struct Picture {
+pub struct CacheIndex {
     shards: Vec<RwLock<HashMap<u64, u64>>>,
-    lives: RwLock<[Option<Life>; MAX_SLOTS]>,
+    generations: RwLock<[Option<CacheGeneration>; MAX_SLOTS]>,
     clears: std::sync::atomic::AtomicU64,
 }
 
-impl Default for Picture {
+impl Default for CacheIndex {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Picture {
+impl CacheIndex {
     /// An empty index.
     pub fn new() -> Self {
         Self {
             shards: (0..SHARDS).map(|_| RwLock::new(HashMap::new())).collect(),
-            lives: RwLock::new([None; MAX_SLOTS]),
+            generations: RwLock::new([None; MAX_SLOTS]),
             clears: Default::default(),
         }
     }
@@ -94,7 +94,7 @@
     /// Records that `slot` has cached `blocks`, as reported under `life`.
     ///
     /// A `life` other than the slot's current one clears the slot first.
-    pub fn stored(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
+    pub fn stored(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
         self.begin(slot, life);
         for block in blocks {
             let mut shard = self.shard(*block).write().unwrap();
@@ -104,7 +104,7 @@
 
     /// Records that `slot` will have cached `blocks` once it has computed a prompt
     /// that the router sent it; ignored unless `life` is the slot's current one.
-    pub fn predicted(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
+    pub fn predicted(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
         if self.life(slot) != Some(life) {
             return;
         }
@@ -116,7 +116,7 @@
 
     /// Records that `slot` evicted `blocks`; ignored unless `life` is the slot's
     /// current one.
-    pub fn removed(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
+    pub fn removed(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
         if self.life(slot) != Some(life) {
             return;
         }
@@ -127,25 +127,25 @@
 
     /// Removes all entries of `slot`, whose engine failed or left.
     pub fn clear(&self, slot: Slot) {
-        self.lives.write().unwrap()[usize::from(slot.0)] = None;
+        self.generations.write().unwrap()[usize::from(slot.0)] = None;
         self.drop_slot(slot);
     }
 
     /// The engine process and weights that the slot's entries belong to, if any.
-    pub fn life(&self, slot: Slot) -> Option<Life> {
-        self.lives.read().unwrap()[usize::from(slot.0)]
+    pub fn life(&self, slot: Slot) -> Option<CacheGeneration> {
+        self.generations.read().unwrap()[usize::from(slot.0)]
     }
 
     /// For each slot in `candidates`, the number of leading blocks of `blocks` that
     /// it has cached; the result is indexed like `candidates`.
     ///
     /// ```
-    /// use marjoram_core::cache::{Life, Picture, Slot};
+    /// use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
     /// use marjoram_core::ids::BlockHash;
-    /// let picture = Picture::new();
+    /// let cache_index = CacheIndex::new();
     /// let blocks = [BlockHash(1), BlockHash(2), BlockHash(3)];
-    /// picture.stored(Slot(0), Life::default(), &blocks[..2]);
-    /// assert_eq!(picture.matched(&blocks, &[Slot(0), Slot(1)]), vec![2, 0]);
+    /// cache_index.stored(Slot(0), CacheGeneration::default(), &blocks[..2]);
+    /// assert_eq!(cache_index.matched(&blocks, &[Slot(0), Slot(1)]), vec![2, 0]);
     /// ```
     pub fn matched(&self, blocks: &[BlockHash], candidates: &[Slot]) -> Vec<u32> {
         let mut matching = candidates.iter().fold(0u64, |mask, slot| mask | slot.bit());
@@ -167,7 +167,7 @@
     }
 
     /// All blocks indexed for `slot`, in no particular order; visits every shard.
-    pub fn held(&self, slot: Slot) -> Vec<BlockHash> {
+    pub fn blocks_of(&self, slot: Slot) -> Vec<BlockHash> {
         let mut blocks = Vec::new();
         for shard in &self.shards {
             let shard = shard.read().unwrap();
@@ -190,14 +190,14 @@
     }
 
     /// Assigns `slot` to `life`, and clears the entries of any other one.
-    pub fn begin(&self, slot: Slot, life: Life) {
+    pub fn begin(&self, slot: Slot, life: CacheGeneration) {
         if self.life(slot) == Some(life) {
             return;
         }
         let stale = {
-            let mut lives = self.lives.write().unwrap();
-            let stale = lives[usize::from(slot.0)].is_some();
-            lives[usize::from(slot.0)] = Some(life);
+            let mut generations = self.generations.write().unwrap();
+            let stale = generations[usize::from(slot.0)].is_some();
+            generations[usize::from(slot.0)] = Some(life);
             stale
         };
         if stale {
--- a/crates/core/src/news.rs
+++ b/crates/core/src/cache_updates.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::exchange::PartId;
-use crate::holdings::{CacheId, Event};
+use crate::part_index::{CacheId, Event};
 
 /// Maximum number of events in one heartbeat: they fill a third of a packet.
 const MAX_EVENTS: usize = 16;
@@ -26,10 +26,10 @@
 
 /// One cache event, in the form in which hosts send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct CacheUpdate {
     /// Key of the engine or the store.
     pub source: u64,
-    /// Epoch of the cache, see [`crate::holdings::epoch`].
+    /// Epoch of the cache, see [`crate::part_index::epoch`].
     pub epoch: u64,
     number: u64,
     cache: u64,
@@ -37,7 +37,7 @@
     tokens: u64,
 }
 
-impl News {
+impl CacheUpdate {
     /// Whether it concerns the same part in the same cache as `other`.
     fn same_part(&self, other: &Self) -> bool {
         (self.source, self.cache, self.part) == (other.source, other.cache, other.part)
@@ -59,22 +59,22 @@
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::exchange::PartId;
-/// use marjoram_core::holdings::{CacheId, Event};
-/// use marjoram_core::news::Digest;
+/// use marjoram_core::part_index::{CacheId, Event};
+/// use marjoram_core::cache_updates::UpdateQueue;
 /// let event = Event { number: 3, cache: CacheId::new("1"), part: PartId(7), tokens: 8_000 };
-/// let mut digest = Digest::new();
+/// let mut update_queue = UpdateQueue::new();
 /// let now = Duration::from_secs(1);
-/// digest.add(5, 1, &[event], now);
-/// let told = digest.lately(Duration::from_millis(800), now);
+/// update_queue.add(5, 1, &[event], now);
+/// let told = update_queue.recent(Duration::from_millis(800), now);
 /// assert_eq!((told[0].source, told[0].event()), (5, event));
-/// assert!(digest.lately(Duration::from_millis(800), now * 2).is_empty());
+/// assert!(update_queue.recent(Duration::from_millis(800), now * 2).is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct Digest {
-    queued: VecDeque<(Duration, News)>,
+pub struct UpdateQueue {
+    queued: VecDeque<(Duration, CacheUpdate)>,
 }
 
-impl Digest {
+impl UpdateQueue {
     /// An empty queue.
     pub fn new() -> Self {
         Self::default()
@@ -84,7 +84,8 @@
     pub fn add(&mut self, source: u64, epoch: u64, events: &[Event], now: Duration) {
         for event in events {
             let Event { number, cache, part, tokens } = *event;
-            let update = News { source, epoch, number, cache: cache.0, part: part.0, tokens };
+            let update =
+                CacheUpdate { source, epoch, number, cache: cache.0, part: part.0, tokens };
             // A part is prefilled in chunks with an event each; the last one suffices.
             self.queued.retain(|(_, queued)| !queued.same_part(&update));
             self.queued.push_back((now, update));
@@ -95,14 +96,14 @@
 
     /// Adds an update that the cache `source` no longer existed at `now`. It carries
     /// another epoch, so receivers drop all they know of the cache.
-    pub fn add_loss(&mut self, source: u64, now: Duration) {
+    pub fn add_removed_cache(&mut self, source: u64, now: Duration) {
         let placeholder = Event { number: 0, cache: CacheId(0), part: PartId(0), tokens: 0 };
         self.add(source, NO_EPOCH, &[placeholder], now);
     }
 
     /// The events that were read within `span` before `now`, the newest first, as
     /// many as fit into a heartbeat.
-    pub fn lately(&mut self, span: Duration, now: Duration) -> Vec<News> {
+    pub fn recent(&mut self, span: Duration, now: Duration) -> Vec<CacheUpdate> {
         while self.queued.front().is_some_and(|(at, _)| *at + span < now) {
             self.queued.pop_front();
         }
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/exchange.rs
@@ -85,10 +85,10 @@
     ///     input: 1_500,
     ///     output: 20,
     /// };
-    /// assert_eq!(prompt([1, 2, 3]).chain(), prompt([1, 2, 4]).chain());
-    /// assert_ne!(prompt([1, 2, 3]).chain(), prompt([1, 5, 3]).chain());
+    /// assert_eq!(prompt([1, 2, 3]).prefix_hash(), prompt([1, 2, 4]).prefix_hash());
+    /// assert_ne!(prompt([1, 2, 3]).prefix_hash(), prompt([1, 5, 3]).prefix_hash());
     /// ```
-    pub fn chain(&self) -> u64 {
+    pub fn prefix_hash(&self) -> u64 {
         let parts = self.shared_parts().iter();
         parts.fold(0, |chain, part| xxh3_64_with_seed(&part.id.0.to_le_bytes(), chain))
     }
@@ -96,7 +96,7 @@
 
 /// Metadata of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestMetadata {
     /// Id of this attempt of the caller.
     pub attempt: Option<String>,
     /// Time for which the caller waits for an answer.
@@ -136,7 +136,7 @@
 
 /// Metadata of an upstream's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct ResponseMetadata {
     /// Id of the attempt that it answers.
     pub attempt: Option<String>,
     /// It carries the upstream's response seal.
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -7,7 +7,7 @@
 //! the new incarnation is read from its start. New weights keep the numbering but
 //! clear the index.
 
-use crate::cache::{Life, Picture, Slot};
+use crate::cache::{CacheGeneration, CacheIndex, Slot};
 use crate::wire::{CacheEvents, EventKind};
 
 /// Position up to which an engine's events have been read, and the incarnation
@@ -16,7 +16,7 @@
 pub struct Cursor {
     /// Incarnation and weights version under which the index entries were
     /// recorded.
-    pub life: Life,
+    pub life: CacheGeneration,
     /// Sequence number of the next event to read.
     pub next: u64,
 }
@@ -35,7 +35,7 @@
 /// read.
 ///
 /// ```
-/// use marjoram_core::cache::{Picture, Slot};
+/// use marjoram_core::cache::{CacheIndex, Slot};
 /// use marjoram_core::feed;
 /// use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
 /// use marjoram_core::wire::{CacheEvent, CacheEvents, EventKind};
@@ -46,28 +46,28 @@
 ///     next: 1,
 ///     events: vec![stored],
 /// };
-/// let picture = Picture::new();
-/// let (cursor, taken) = feed::apply(&picture, Slot(0), None, &read);
+/// let cache_index = CacheIndex::new();
+/// let (cursor, taken) = feed::apply(&cache_index, Slot(0), None, &read);
 /// assert_eq!((cursor.next, taken.events, taken.gaps), (1, 1, 0));
-/// assert_eq!(picture.held(Slot(0)), [BlockHash(7)]);
+/// assert_eq!(cache_index.blocks_of(Slot(0)), [BlockHash(7)]);
 /// ```
 pub fn apply(
-    picture: &Picture,
+    cache_index: &CacheIndex,
     slot: Slot,
     cursor: Option<Cursor>,
     read: &CacheEvents,
 ) -> (Cursor, ReadStats) {
-    let life = Life { incarnation: read.incarnation, version: read.version };
+    let life = CacheGeneration { incarnation: read.incarnation, version: read.version };
     match cursor {
         Some(previous) if previous.life.incarnation != life.incarnation => {
-            picture.clear(slot);
-            picture.begin(slot, life);
+            cache_index.clear(slot);
+            cache_index.begin(slot, life);
             return (Cursor { life, next: 0 }, ReadStats::default());
         }
         // The entries of the same incarnation may have been cleared in the
         // meantime, for example because the engine was considered dead. `begin`
         // is idempotent, so it is called for each read.
-        _ => picture.begin(slot, life),
+        _ => cache_index.begin(slot, life),
     }
     let mut next = cursor.map(|previous| previous.next).unwrap_or(0);
     let mut stats = ReadStats::default();
@@ -76,11 +76,11 @@
         stats.events += 1;
         next = event.seq + 1;
         match event.kind {
-            EventKind::Stored => picture.stored(slot, life, &event.blocks),
-            EventKind::Removed => picture.removed(slot, life, &event.blocks),
+            EventKind::Stored => cache_index.stored(slot, life, &event.blocks),
+            EventKind::Removed => cache_index.removed(slot, life, &event.blocks),
             EventKind::Cleared => {
-                picture.clear(slot);
-                picture.begin(slot, life);
+                cache_index.clear(slot);
+                cache_index.begin(slot, life);
             }
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -30,9 +30,9 @@
 //! - [`fingerprint`]: fingerprints that identify repeated sends of a request.
 //! - [`upstream`]: the registry of upstreams, built from their own entries.
 //! - [`health`]: passive health tracking of upstreams.
-//! - [`holdings`]: index of which prompt parts each engine and cache store has
+//! - [`part_index`]: index of which prompt parts each engine and cache store has
 //!   cached.
-//! - [`news`]: cache updates that hosts send to each other.
+//! - [`cache_updates`]: cache updates that hosts send to each other.
 //! - [`place`]: selects the engine for a prompt.
 //! - [`plain`]: selects the upstream for a request to a plain service.
 //! - [`poison`]: detects requests that crash the upstreams that run them.
@@ -43,7 +43,7 @@
 //!   weights.
 //! - [`candidacy`]: which hosts are candidates for the leadership of weights
 //!   rollouts.
-//! - [`spread`]: broadcasts messages to all hosts through a few relaying hosts.
+//! - [`broadcast`]: broadcasts messages to all hosts through a few relaying hosts.
 //! - [`pace`]: rate limits for control traffic.
 //! - [`leadership`]: one host's term as leader of weights rollouts, which the
 //!   platform's store assigns.
@@ -58,8 +58,10 @@
 
 pub mod admission;
 pub mod announce;
+pub mod broadcast;
 pub mod budget;
 pub mod cache;
+pub mod cache_updates;
 pub mod candidacy;
 pub mod catalog;
 pub mod claims;
@@ -71,16 +73,15 @@
 pub mod feed;
 pub mod fingerprint;
 pub mod health;
-pub mod holdings;
 pub mod host;
 pub mod ids;
 pub mod leadership;
 pub mod lease;
 pub mod measure;
 pub mod members;
-pub mod news;
 pub mod pace;
 pub mod params;
+pub mod part_index;
 pub mod place;
 pub mod plain;
 pub mod poison;
@@ -89,7 +90,6 @@
 pub mod quota;
 pub mod relay;
 pub mod rollout;
-pub mod spread;
 pub mod stop;
 pub mod store_availability;
 pub mod switches;
--- a/crates/core/src/holdings.rs
+++ b/crates/core/src/part_index.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::exchange::{Part, PartId};
-use crate::upstream::Born;
+use crate::upstream::StartTime;
 
 /// Tokens by which a cached part may be shorter than the whole part: caches
 /// store blocks, and the last block is stored only if it is full.
@@ -36,7 +36,7 @@
 
 /// Tokens from which a part is large, so that hosts pass on its events:
 /// prefilling it again takes an engine tens of milliseconds.
-pub const LARGE: u64 = 1_000;
+pub const LARGE_PART: u64 = 1_000;
 
 /// Number of entries, those of evicted parts included, from which an event
 /// received from another host first removes the entries of evicted parts.
@@ -46,15 +46,15 @@
 /// start time `born`, and of the cache itself, which counts its `restarts`.
 ///
 /// ```
-/// use marjoram_core::holdings::epoch;
-/// use marjoram_core::upstream::Born;
-/// assert_eq!(epoch(Born(0), 7), 7);
-/// assert_ne!(epoch(Born(1), 7), epoch(Born(2), 7));
+/// use marjoram_core::part_index::epoch;
+/// use marjoram_core::upstream::StartTime;
+/// assert_eq!(epoch(StartTime(0), 7), 7);
+/// assert_ne!(epoch(StartTime(1), 7), epoch(StartTime(2), 7));
 /// ```
-pub fn epoch(born: Born, restarts: u64) -> u64 {
+pub fn epoch(born: StartTime, restarts: u64) -> u64 {
     match born {
-        Born(0) => restarts,
-        Born(born) => xxh3_64_with_seed(&restarts.to_le_bytes(), born),
+        StartTime(0) => restarts,
+        StartTime(born) => xxh3_64_with_seed(&restarts.to_le_bytes(), born),
     }
 }
 
@@ -88,17 +88,17 @@
 ///
 /// ```
 /// use marjoram_core::exchange::{Part, PartId};
-/// use marjoram_core::holdings::{CacheId, Event, Holdings, Page};
+/// use marjoram_core::part_index::{CacheId, Event, PartIndex, Page};
 /// let cache = CacheId::new("3");
 /// let event = Event { number: 8, cache, part: PartId(7), tokens: 800 };
-/// let mut holdings = Holdings::new();
-/// holdings.apply(&Page { epoch: 1, next: 9, lost: false, events: vec![event] });
+/// let mut part_index = PartIndex::new();
+/// part_index.apply(&Page { epoch: 1, next: 9, lost: false, events: vec![event] });
 /// let parts = [Part { id: PartId(7), tokens: 805 }, Part { id: PartId(8), tokens: 100 }];
-/// assert_eq!(holdings.held(cache, &parts), 800);
-/// assert_eq!(holdings.held(CacheId::new("4"), &parts), 0);
+/// assert_eq!(part_index.cached_tokens(cache, &parts), 800);
+/// assert_eq!(part_index.cached_tokens(CacheId::new("4"), &parts), 0);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Holdings {
+pub struct PartIndex {
     epoch: Option<u64>,
     next: u64,
     entries: HashMap<(CacheId, PartId), PartEntry>,
@@ -113,7 +113,7 @@
     number: u64,
 }
 
-impl Holdings {
+impl PartIndex {
     /// An empty index.
     pub fn new() -> Self {
         Self::default()
@@ -152,7 +152,7 @@
     ///
     /// ```
     /// use marjoram_core::exchange::PartId;
-    /// use marjoram_core::holdings::{CacheId, Event, Holdings, Page};
+    /// use marjoram_core::part_index::{CacheId, Event, PartIndex, Page};
     /// let event = |number, part, tokens| Event {
     ///     number,
     ///     cache: CacheId::new("3"),
@@ -160,17 +160,17 @@
     ///     tokens,
     /// };
     /// let page = |events| Page { epoch: 1, next: 9, lost: false, events };
-    /// let mut holdings = Holdings::new();
+    /// let mut part_index = PartIndex::new();
     /// let first = page(vec![event(1, 7, 8_000), event(2, 8, 60)]);
-    /// assert_eq!(holdings.large(&first), [event(1, 7, 8_000)]);
-    /// holdings.apply(&first);
+    /// assert_eq!(part_index.large_part_events(&first), [event(1, 7, 8_000)]);
+    /// part_index.apply(&first);
     /// let dropped = page(vec![event(3, 8, 0), event(4, 7, 0)]);
-    /// assert_eq!(holdings.large(&dropped), [event(4, 7, 0)]);
+    /// assert_eq!(part_index.large_part_events(&dropped), [event(4, 7, 0)]);
     /// ```
-    pub fn large(&self, page: &Page) -> Vec<Event> {
+    pub fn large_part_events(&self, page: &Page) -> Vec<Event> {
         let before =
             |e: &Event| self.entries.get(&(e.cache, e.part)).map_or(0, |entry| entry.tokens);
-        let large = |e: &&Event| e.tokens >= LARGE || before(e) >= LARGE;
+        let large = |e: &&Event| e.tokens >= LARGE_PART || before(e) >= LARGE_PART;
         page.events.iter().filter(large).copied().collect()
     }
 
@@ -179,17 +179,17 @@
     ///
     /// ```
     /// use marjoram_core::exchange::{Part, PartId};
-    /// use marjoram_core::holdings::{CacheId, Event, Holdings};
+    /// use marjoram_core::part_index::{CacheId, Event, PartIndex};
     /// let cache = CacheId::new("3");
     /// let event = |number, tokens| Event { number, cache, part: PartId(7), tokens };
     /// let parts = [Part { id: PartId(7), tokens: 8_000 }];
-    /// let mut holdings = Holdings::new();
-    /// holdings.hear(1, &event(4, 8_000));
-    /// holdings.hear(1, &event(6, 0));
-    /// holdings.hear(1, &event(4, 8_000));
-    /// assert_eq!(holdings.held(cache, &parts), 0);
+    /// let mut part_index = PartIndex::new();
+    /// part_index.apply_remote(1, &event(4, 8_000));
+    /// part_index.apply_remote(1, &event(6, 0));
+    /// part_index.apply_remote(1, &event(4, 8_000));
+    /// assert_eq!(part_index.cached_tokens(cache, &parts), 0);
     /// ```
-    pub fn hear(&mut self, epoch: u64, event: &Event) {
+    pub fn apply_remote(&mut self, epoch: u64, event: &Event) {
         self.set_epoch(epoch);
         if self.entries.len() >= MAX_ENTRIES {
             self.entries.retain(|_, entry| entry.tokens > 0);
@@ -222,8 +222,8 @@
     }
 
     /// Number of leading tokens of `parts` that are cached in `cache`.
-    pub fn held(&self, cache: CacheId, parts: &[Part]) -> u64 {
-        self.held_or(cache, parts, |_| false)
+    pub fn cached_tokens(&self, cache: CacheId, parts: &[Part]) -> u64 {
+        self.cached_tokens_assuming(cache, parts, |_| false)
     }
 
     /// Number of leading tokens of `parts` that are cached in `cache`. Parts for
@@ -234,14 +234,14 @@
     ///
     /// ```
     /// use marjoram_core::exchange::{Part, PartId};
-    /// use marjoram_core::holdings::{CacheId, Holdings};
+    /// use marjoram_core::part_index::{CacheId, PartIndex};
     /// let part = |id| Part { id: PartId(id), tokens: 500 };
-    /// let (cache, holdings) = (CacheId::new("3"), Holdings::new());
+    /// let (cache, part_index) = (CacheId::new("3"), PartIndex::new());
     /// // The first part was just prefilled there; the second is not known to be cached.
-    /// let held = holdings.held_or(cache, &[part(1), part(2)], |p| p.id == PartId(1));
+    /// let held = part_index.cached_tokens_assuming(cache, &[part(1), part(2)], |p| p.id == PartId(1));
     /// assert_eq!(held, 500);
     /// ```
-    pub fn held_or(
+    pub fn cached_tokens_assuming(
         &self,
         cache: CacheId,
         parts: &[Part],
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -26,17 +26,17 @@
 //! addition to those that have its parts cached or are preferred for them.
 
 mod partition;
-mod worth;
+mod score;
 
 use std::hash::Hasher;
 use std::time::Duration;
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-use crate::holdings;
+use crate::part_index;
 use crate::policy::PolicyName;
-pub use partition::{FRESH_HOSTS, draw, lane};
-use worth::score;
+pub use partition::{SINGLE_ROUND_HOSTS, pool_partition, sample};
+use score::score;
 
 /// Time after their replacement during which weights count as current.
 const WEIGHTS_GRACE: Duration = Duration::from_millis(1_200);
@@ -59,7 +59,7 @@
 pub enum WeightsAge {
     /// They are the newest, or were replaced so recently that they count as
     /// current.
-    Good,
+    Current,
     /// They were replaced, and are still within the time limit for old weights.
     Old,
     /// They were replaced and are past that time limit.
@@ -71,7 +71,7 @@
     /// used for longer than `bound` after that.
     pub fn new(replaced: Duration, bound: Duration) -> Self {
         match replaced {
-            age if age <= WEIGHTS_GRACE => Self::Good,
+            age if age <= WEIGHTS_GRACE => Self::Current,
             age if age < bound => Self::Old,
             _ => Self::Overdue,
         }
@@ -80,7 +80,7 @@
 
 /// Shared parts that can be copied from another cache instead of prefilled.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Copying {
+pub struct CopyableCache {
     /// Shared tokens that the source has cached.
     pub held: u64,
     /// Milliseconds to copy one token.
@@ -108,19 +108,19 @@
     /// Shared tokens of this prompt that it has cached.
     pub held: u64,
     /// Parts that it can copy from another cache.
-    pub copy: Option<Copying>,
+    pub copy: Option<CopyableCache>,
     /// Share of its answers that were failures, from 0 to 1.
     pub failures: f64,
     /// It is in another data centre than this host.
-    pub far: bool,
+    pub remote: bool,
     /// Version of the weights it serves.
     pub weights: u64,
     /// How far those are behind the newest version.
     pub age: WeightsAge,
     /// It is in the pool partition for prompts of this size.
-    pub lane: bool,
+    pub in_partition: bool,
     /// It is in the sample of engines that this request is compared over.
-    pub drawn: bool,
+    pub sampled: bool,
 }
 
 /// The engine chosen for a prompt, and what is expected there.
@@ -139,7 +139,7 @@
 
 /// Prompt tokens from which a prompt is large: its prefill takes an engine more
 /// than one step, and each of these steps delays all its running requests.
-pub const LARGE: u64 = 2_048;
+pub const LARGE_PROMPT: u64 = 2_048;
 
 /// Tokens queued for prefill at an engine above which no large prompt is sent
 /// there: they take about the time that a small prompt can wait and still be on
@@ -158,14 +158,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use marjoram_core::place::waits;
+/// use marjoram_core::place::must_wait;
 /// let limit = Duration::from_secs(8);
-/// assert!(waits(17_000, 30_000, Duration::from_secs(1), limit));
-/// assert!(!waits(17_000, 30_000, Duration::from_secs(2), limit));
-/// assert!(!waits(300, 30_000, Duration::ZERO, limit));
+/// assert!(must_wait(17_000, 30_000, Duration::from_secs(1), limit));
+/// assert!(!must_wait(17_000, 30_000, Duration::from_secs(2), limit));
+/// assert!(!must_wait(300, 30_000, Duration::ZERO, limit));
 /// ```
-pub fn waits(input: u64, unread: u64, held: Duration, limit: Duration) -> bool {
-    input >= LARGE && unread > MAX_QUEUED_TOKENS && held < limit / MAX_WAIT_DIVISOR
+pub fn must_wait(input: u64, unread: u64, held: Duration, limit: Duration) -> bool {
+    input >= LARGE_PROMPT && unread > MAX_QUEUED_TOKENS && held < limit / MAX_WAIT_DIVISOR
 }
 
 /// Rendezvous-hash rank of the engine with `key` for the prefix path `chain`.
@@ -198,7 +198,7 @@
         }
         PolicyName::Maglev => eligible.into_iter().max_by_key(|&i| candidates[i].rank)?,
     };
-    let preferred = home(candidates, candidates[index].weights) == Some(index);
+    let preferred = preferred_engine(candidates, candidates[index].weights) == Some(index);
     Some(score(need, &candidates[index], index, preferred).1)
 }
 
@@ -206,7 +206,7 @@
 /// `need`; `None` without candidates.
 ///
 /// ```
-/// use marjoram_core::place::{Candidate, Copying, Need, WeightsAge, place};
+/// use marjoram_core::place::{Candidate, CopyableCache, Need, WeightsAge, place};
 /// let idle = Candidate {
 ///     rank: 1,
 ///     unread: 0,
@@ -218,18 +218,18 @@
 ///     held: 0,
 ///     copy: None,
 ///     failures: 0.0,
-///     far: false,
+///     remote: false,
 ///     weights: 1,
-///     age: WeightsAge::Good,
-///     lane: true,
-///     drawn: true,
+///     age: WeightsAge::Current,
+///     in_partition: true,
+///     sampled: true,
 /// };
 /// let home = Candidate { rank: 9, ..idle };
 /// let need = Need { input: 17_000, shared: 13_000, output: 30, target: 800.0 };
 /// assert_eq!(place(need, &[idle, home]).unwrap().engine, 1);
 /// // The engine that caches the parts has a long queue: they are copied to the idle one.
 /// let busy = Candidate { unread: 50_000, held: 13_000, ..home };
-/// let copy = Some(Copying { held: 13_000, token_ms: 0.002 });
+/// let copy = Some(CopyableCache { held: 13_000, token_ms: 0.002 });
 /// let choice = place(need, &[Candidate { copy, ..idle }, busy]).unwrap();
 /// assert_eq!((choice.engine, choice.copies), (0, true));
 /// ```
@@ -237,15 +237,15 @@
     let preferred_engines = preferred_engines(candidates);
     let scored = candidates.iter().enumerate().filter_map(|(index, c)| {
         let preferred = preferred_engines.iter().any(|(_, engine)| *engine == index);
-        let may_have_parts = need.shared >= holdings::LARGE && (preferred || c.held > 0);
-        (c.drawn || may_have_parts).then(|| score(need, c, index, preferred))
+        let may_have_parts = need.shared >= part_index::LARGE_PART && (preferred || c.held > 0);
+        (c.sampled || may_have_parts).then(|| score(need, c, index, preferred))
     });
     scored.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, choice)| choice)
 }
 
 /// Index of the preferred engine for the prompt's prefix path among the
 /// `candidates` on the version `weights`.
-pub fn home(candidates: &[Candidate], weights: u64) -> Option<usize> {
+pub fn preferred_engine(candidates: &[Candidate], weights: u64) -> Option<usize> {
     preferred_engines(candidates)
         .into_iter()
         .find(|(version, _)| *version == weights)
@@ -257,7 +257,7 @@
 /// searched.
 fn preferred_engines(candidates: &[Candidate]) -> Vec<(u64, usize)> {
     let mut preferred: Vec<(u64, usize)> = Vec::new();
-    for (index, c) in candidates.iter().enumerate().filter(|(_, c)| c.lane) {
+    for (index, c) in candidates.iter().enumerate().filter(|(_, c)| c.in_partition) {
         match preferred.iter_mut().find(|(weights, _)| *weights == c.weights) {
             Some((_, engine)) if c.rank > candidates[*engine].rank => *engine = index,
             Some(_) => {}
--- a/crates/core/src/place/partition.rs
+++ b/crates/core/src/place/partition.rs
@@ -5,7 +5,7 @@
 
 /// Number of hosts up to which each host reports its loads to all others in a
 /// single round. Loads are then recent enough to compare all engines.
-pub const FRESH_HOSTS: usize = 17;
+pub const SINGLE_ROUND_HOSTS: usize = 17;
 
 /// Engines sampled inside the partition, and as many outside it, where there are
 /// more hosts: many hosts that compare the same engines would all send to the
@@ -19,12 +19,12 @@
 /// are a preference: an engine outside is chosen when its score is higher.
 ///
 /// ```
-/// use marjoram_core::place::lane;
-/// let small = lane(&[5, 1, 9], 0.34, false);
+/// use marjoram_core::place::pool_partition;
+/// let small = pool_partition(&[5, 1, 9], 0.34, false);
 /// assert_eq!(small, [false, true, false]);
-/// assert_eq!(lane(&[5, 1, 9], 0.34, true), [true, false, true]);
+/// assert_eq!(pool_partition(&[5, 1, 9], 0.34, true), [true, false, true]);
 /// ```
-pub fn lane(places: &[u64], small_share: f64, large: bool) -> Vec<bool> {
+pub fn pool_partition(places: &[u64], small_share: f64, large: bool) -> Vec<bool> {
     let mut order: Vec<usize> = (0..places.len()).collect();
     order.sort_by_key(|&i| places[i]);
     let small = (places.len() as f64 * small_share).floor() as usize;
@@ -34,25 +34,25 @@
 }
 
 /// Which engines a request with the key `request` is compared over when there
-/// are `hosts` hosts: all of them at up to [`FRESH_HOSTS`], else a few of its
-/// partition (`lanes`) and a few others.
+/// are `hosts` hosts: all of them at up to [`SINGLE_ROUND_HOSTS`], else a few of its
+/// partition (`partition`) and a few others.
 ///
 /// ```
-/// use marjoram_core::place::draw;
-/// let (places, lanes) = ([1, 2, 3, 4, 5, 6, 7, 8], [true; 8]);
-/// assert_eq!(draw(7, &places, &lanes, 9), [true; 8]);
-/// let drawn = draw(7, &places, &lanes, 64);
-/// assert_eq!(drawn.iter().filter(|d| **d).count(), 2);
-/// assert_ne!(drawn, draw(8, &places, &lanes, 64));
+/// use marjoram_core::place::sample;
+/// let (places, partition) = ([1, 2, 3, 4, 5, 6, 7, 8], [true; 8]);
+/// assert_eq!(sample(7, &places, &partition, 9), [true; 8]);
+/// let sampled = sample(7, &places, &partition, 64);
+/// assert_eq!(sampled.iter().filter(|d| **d).count(), 2);
+/// assert_ne!(sampled, sample(8, &places, &partition, 64));
 /// ```
-pub fn draw(request: u64, places: &[u64], lanes: &[bool], hosts: usize) -> Vec<bool> {
-    if hosts <= FRESH_HOSTS {
+pub fn sample(request: u64, places: &[u64], partition: &[bool], hosts: usize) -> Vec<bool> {
+    if hosts <= SINGLE_ROUND_HOSTS {
         return vec![true; places.len()];
     }
     let mut sampled = vec![false; places.len()];
     for inside in [true, false] {
         let mut order: Vec<(u64, usize)> = (0..places.len())
-            .filter(|&i| lanes[i] == inside)
+            .filter(|&i| partition[i] == inside)
             .map(|i| (rank(request, places[i]), i))
             .collect();
         order.sort_unstable();
--- a/crates/core/src/place/worth.rs
+++ b/crates/core/src/place/score.rs
@@ -2,7 +2,7 @@
 //! is an answer in time at no cost. Each cost has a type with its unit, and
 //! [`score`] combines them.
 
-use super::{Candidate, Choice, LARGE, Need, WeightsAge};
+use super::{Candidate, Choice, LARGE_PROMPT, Need, WeightsAge};
 
 /// Time until a prompt is prefilled, and the target time for its first event,
 /// both in milliseconds.
@@ -80,8 +80,8 @@
     ms: f64,
 }
 
-/// Value lost by prefilling a whole prompt of at least [`LARGE`] tokens again.
-/// Smaller ones lose in proportion to [`LARGE`], since their shared parts are
+/// Value lost by prefilling a whole prompt of at least [`LARGE_PROMPT`] tokens again.
+/// Smaller ones lose in proportion to [`LARGE_PROMPT`], since their shared parts are
 /// prefilled within a few milliseconds.
 const REPEATED_PREFILL_COST: f64 = 1.0;
 
@@ -113,7 +113,7 @@
 
     /// Value lost by the work that repeated prefill takes from other prompts.
     fn cost(self, need: Need) -> f64 {
-        REPEATED_PREFILL_COST * self.repeated as f64 / need.input.max(LARGE) as f64
+        REPEATED_PREFILL_COST * self.repeated as f64 / need.input.max(LARGE_PROMPT) as f64
     }
 }
 
@@ -129,7 +129,7 @@
 fn partition_cost(inside: bool, input: u64) -> f64 {
     match inside {
         true => 0.0,
-        false if input >= LARGE => LARGE_PARTITION_COST,
+        false if input >= LARGE_PROMPT => LARGE_PARTITION_COST,
         false => PARTITION_COST,
     }
 }
@@ -143,7 +143,7 @@
     /// Value of an answer on weights of this age.
     fn value(self) -> f64 {
         match self {
-            Self::Good => 1.0,
+            Self::Current => 1.0,
             Self::Old => OLD_VALUE,
             Self::Overdue => OVERDUE_VALUE,
         }
@@ -180,8 +180,8 @@
         - wait.cost()
         - shared.cost(need)
         - memory.cost()
-        - partition_cost(c.lane, need.input)
-        - if c.far { REMOTE_COST } else { 0.0 };
+        - partition_cost(c.in_partition, need.input)
+        - if c.remote { REMOTE_COST } else { 0.0 };
     let unread = unshared + shared.prefill_tokens;
     (value, Choice { engine: index, copies: shared.copies, wait: ms, unread })
 }
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -46,7 +46,7 @@
 
 /// The request that a policy chooses an engine for.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PolicyInput<'a> {
     /// The prompt's blocks.
     pub prefix: &'a Prefix,
     /// The workspace's routing parameters.
@@ -56,7 +56,7 @@
 /// Chooses an engine for a request.
 pub trait Policy {
     /// Index into `candidates` of the chosen engine; `None` when empty.
-    fn pick(&self, ask: Ask<'_>, candidates: &[Candidate]) -> Option<usize>;
+    fn pick(&self, policy_input: PolicyInput<'_>, candidates: &[Candidate]) -> Option<usize>;
 }
 
 /// The name of a routing policy, as written in configuration.
@@ -123,23 +123,28 @@
     /// use marjoram_core::cache::Slot;
     /// use marjoram_core::params::Params;
     /// use marjoram_core::ids::Tokens;
-    /// use marjoram_core::policy::{Ask, Candidate, PolicyName, Router};
+    /// use marjoram_core::policy::{PolicyInput, Candidate, PolicyName, Router};
     /// use marjoram_core::prefix::Prefix;
     /// let prefix = Prefix { blocks: vec![], tokens: Tokens(0) };
     /// let params = Params::default();
-    /// let ask = Ask { prefix: &prefix, params: &params };
+    /// let policy_input = PolicyInput { prefix: &prefix, params: &params };
     /// let idle =
     ///     Candidate { slot: Slot(0), key: 1, load: 0, pending: Tokens(0), matched: 0 };
     /// let busy = Candidate { slot: Slot(1), load: 9, ..idle };
     /// let router = Router::new();
-    /// assert_eq!(router.pick(PolicyName::LeastLoad, ask, &[busy, idle]), Some(1));
+    /// assert_eq!(router.pick(PolicyName::LeastLoad, policy_input, &[busy, idle]), Some(1));
     /// ```
-    pub fn pick(&self, name: PolicyName, ask: Ask<'_>, candidates: &[Candidate]) -> Option<usize> {
+    pub fn pick(
+        &self,
+        name: PolicyName,
+        policy_input: PolicyInput<'_>,
+        candidates: &[Candidate],
+    ) -> Option<usize> {
         match name {
-            PolicyName::RoundRobin => self.round_robin.pick(ask, candidates),
-            PolicyName::LeastLoad => self.least_load.pick(ask, candidates),
-            PolicyName::Maglev => self.maglev.pick(ask, candidates),
-            PolicyName::PrefixAware => self.prefix_aware.pick(ask, candidates),
+            PolicyName::RoundRobin => self.round_robin.pick(policy_input, candidates),
+            PolicyName::LeastLoad => self.least_load.pick(policy_input, candidates),
+            PolicyName::Maglev => self.maglev.pick(policy_input, candidates),
+            PolicyName::PrefixAware => self.prefix_aware.pick(policy_input, candidates),
         }
     }
 }
--- a/crates/core/src/policy/least_load.rs
+++ b/crates/core/src/policy/least_load.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Ask, Candidate, Policy};
+use super::{Candidate, Policy, PolicyInput};
 
 /// Picks the least loaded candidate; ties are broken in rotation.
 #[derive(Debug, Default)]
@@ -11,7 +11,7 @@
 }
 
 impl Policy for LeastLoad {
-    fn pick(&self, _: Ask<'_>, candidates: &[Candidate]) -> Option<usize> {
+    fn pick(&self, _: PolicyInput<'_>, candidates: &[Candidate]) -> Option<usize> {
         let least = candidates.iter().map(|c| c.load).min()?;
         let ties = candidates.iter().filter(|c| c.load == least).count();
         let turn = self.next.fetch_add(1, Ordering::Relaxed) % ties;
--- a/crates/core/src/policy/maglev.rs
+++ b/crates/core/src/policy/maglev.rs
@@ -23,7 +23,7 @@
 use arc_swap::ArcSwapOption;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Ask, Candidate, Policy};
+use super::{Candidate, Policy, PolicyInput};
 
 /// Number of slots in a table: a prime well above the number of engines in a pool.
 pub const TABLE_SIZE: usize = 4093;
@@ -115,19 +115,20 @@
 }
 
 impl Policy for Maglev {
-    fn pick(&self, ask: Ask<'_>, candidates: &[Candidate]) -> Option<usize> {
+    fn pick(&self, policy_input: PolicyInput<'_>, candidates: &[Candidate]) -> Option<usize> {
         if candidates.is_empty() {
             return None;
         }
         let table = self.table(candidates);
-        let depth = (ask.params.hash_blocks() as usize).min(ask.prefix.blocks.len());
+        let depth =
+            (policy_input.params.hash_blocks() as usize).min(policy_input.prefix.blocks.len());
         let hash = match depth {
             0 => 0,
-            n => ask.prefix.blocks[n - 1].0,
+            n => policy_input.prefix.blocks[n - 1].0,
         };
         let total: u64 = candidates.iter().map(|c| u64::from(c.load)).sum();
         let mean = total as f64 / candidates.len() as f64;
-        let bound = (mean * f64::from(ask.params.load_bound()) / 100.0).ceil() as u32 + 1;
+        let bound = (mean * f64::from(policy_input.params.load_bound()) / 100.0).ceil() as u32 + 1;
         let index_of = |key: u64| candidates.iter().position(|c| c.key == key);
         let first = table.walk(hash).next().and_then(index_of);
         table
--- a/crates/core/src/policy/prefix_aware.rs
+++ b/crates/core/src/policy/prefix_aware.rs
@@ -13,7 +13,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Ask, Candidate, Policy};
+use super::{Candidate, Policy, PolicyInput};
 use crate::prefix::BLOCK_TOKENS;
 
 /// Prefix-aware policy: least expected wait for the first token.
@@ -23,9 +23,9 @@
 }
 
 impl Policy for PrefixAware {
-    fn pick(&self, ask: Ask<'_>, candidates: &[Candidate]) -> Option<usize> {
-        let blocks = ask.prefix.blocks.len() as u64;
-        let per_load = u64::from(ask.params.load_tokens());
+    fn pick(&self, policy_input: PolicyInput<'_>, candidates: &[Candidate]) -> Option<usize> {
+        let blocks = policy_input.prefix.blocks.len() as u64;
+        let per_load = u64::from(policy_input.params.load_tokens());
         let cost = |c: &Candidate| {
             let unread = (blocks - u64::from(c.matched).min(blocks)) * BLOCK_TOKENS as u64;
             c.pending.0 + unread + u64::from(c.load) * per_load
@@ -37,7 +37,7 @@
         let least_loaded =
             (0..candidates.len()).min_by_key(|&i| (candidates[i].load, rotated(i)))?;
         match candidates[best].load {
-            load if load > candidates[least_loaded].load + ask.params.balance_cap() => {
+            load if load > candidates[least_loaded].load + policy_input.params.balance_cap() => {
                 Some(least_loaded)
             }
             _ => Some(best),
--- a/crates/core/src/policy/round_robin.rs
+++ b/crates/core/src/policy/round_robin.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use super::{Ask, Candidate, Policy};
+use super::{Candidate, Policy, PolicyInput};
 
 /// Picks the candidates in rotation; ignores load and cache.
 #[derive(Debug, Default)]
@@ -11,7 +11,7 @@
 }
 
 impl Policy for RoundRobin {
-    fn pick(&self, _: Ask<'_>, candidates: &[Candidate]) -> Option<usize> {
+    fn pick(&self, _: PolicyInput<'_>, candidates: &[Candidate]) -> Option<usize> {
         match candidates.len() {
             0 => None,
             n => Some(self.next.fetch_add(1, Ordering::Relaxed) % n),
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -17,7 +17,7 @@
 
 use std::time::Duration;
 
-use crate::upstream::Life;
+use crate::upstream::Instance;
 
 /// Fraction of the engines that load at once: one in so many.
 const LOADING_SHARE: usize = 5;
@@ -174,7 +174,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
     /// Its incarnation.
-    pub life: Life,
+    pub life: Instance,
     /// The version it serves.
     pub version: u64,
     /// The version that it has been ordered to load, while the outcome is not known.
@@ -202,7 +202,7 @@
 ///     next(&engines, 2, Duration::ZERO).into_iter().map(|life| life.to_string()).collect();
 /// assert_eq!(ids, ["b", "c", "a"]);
 /// ```
-pub fn next(engines: &[Engine], version: u64, now: Duration) -> Vec<Life> {
+pub fn next(engines: &[Engine], version: u64, now: Duration) -> Vec<Instance> {
     let changing = || engines.iter().filter(|e| e.changing.is_some());
     let loading = changing().filter(|e| e.work == 0).count();
     let loading_slots = (engines.len() / LOADING_SHARE).max(MIN_LOADING).saturating_sub(loading);
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -35,16 +35,16 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
-impl Born {
+impl StartTime {
     /// Whether both can be the same start time; an unknown one matches any.
-    pub fn agrees(self, other: Self) -> bool {
+    pub fn may_equal(self, other: Self) -> bool {
         self == other || self == Self(0) || other == Self(0)
     }
 }
 
-impl fmt::Display for Born {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
@@ -54,30 +54,30 @@
 /// counters and announcements do not outlive it.
 ///
 /// ```
-/// use marjoram_core::upstream::Life;
-/// let life: Life = "i-7f3a91c2@1764720000000".parse().unwrap();
+/// use marjoram_core::upstream::Instance;
+/// let life: Instance = "i-7f3a91c2@1764720000000".parse().unwrap();
 /// assert_eq!((life.id.0.as_str(), life.born.0), ("i-7f3a91c2", 1_764_720_000_000));
 /// assert_eq!(life.to_string(), "i-7f3a91c2@1764720000000");
-/// assert_eq!("i-7f3a91c2".parse::<Life>().unwrap().born.0, 0);
+/// assert_eq!("i-7f3a91c2".parse::<Instance>().unwrap().born.0, 0);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Instance {
     /// The upstream.
     pub id: UpstreamId,
     /// Its start time.
-    pub born: Born,
+    pub born: StartTime,
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Instance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
-            Born(0) => write!(f, "{}", self.id),
+            StartTime(0) => write!(f, "{}", self.id),
             born => write!(f, "{}@{born}", self.id),
         }
     }
 }
 
-impl FromStr for Life {
+impl FromStr for Instance {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self, Error> {
@@ -86,7 +86,7 @@
         let born = born.parse().map_err(|_| invalid("start time is not a whole number"))?;
         match id {
             "" => Err(invalid("id is empty")),
-            _ => Ok(Self { id: UpstreamId(id.into()), born: Born(born) }),
+            _ => Ok(Self { id: UpstreamId(id.into()), born: StartTime(born) }),
         }
     }
 }
@@ -104,7 +104,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its id and start time.
-    pub life: Life,
+    pub life: Instance,
     /// The service it is part of.
     pub service: String,
     /// Address at which it accepts requests.
@@ -124,11 +124,11 @@
 /// Time after the store becomes available again during which entries that were
 /// lost in the outage are kept. Upstreams publish their entries again within
 /// about two seconds.
-pub const RETURN_TIME: Duration = Duration::from_secs(2);
+pub const REPUBLISH_GRACE: Duration = Duration::from_secs(2);
 
 impl Entry {
     /// Sort key of the entries of one upstream: the greater one is newer.
-    fn order(&self) -> (Born, u64) {
+    fn order(&self) -> (StartTime, u64) {
         (self.life.born, self.beat)
     }
 }
@@ -174,14 +174,14 @@
 /// };
 /// let mut registry = Registry::new();
 /// let now = Duration::ZERO;
-/// assert_eq!(registry.state(entry.clone(), now), Change::Joined);
+/// assert_eq!(registry.apply(entry.clone(), now), Change::Joined);
 /// let old = Entry { leaving: false, beat: 6, ..entry.clone() };
-/// assert_eq!(registry.state(old, now), Change::None);
+/// assert_eq!(registry.apply(old, now), Change::None);
 /// // It is restarted: its sequence numbers start over, and it is not leaving.
 /// let life = "i-1@2000".parse().unwrap();
 /// let again = Entry { life, leaving: false, beat: 1, ..entry.clone() };
-/// assert_eq!(registry.state(again, now), Change::Reborn);
-/// assert_eq!(registry.state(Entry { beat: 9, ..entry }, now), Change::None);
+/// assert_eq!(registry.apply(again, now), Change::Reborn);
+/// assert_eq!(registry.apply(Entry { beat: 9, ..entry }, now), Change::None);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
@@ -189,7 +189,7 @@
     /// Entries lost during an outage of the store, and until when they are kept.
     missing: HashMap<UpstreamId, Duration>,
     /// Sort keys of the last entries of upstreams that left, and when they left.
-    left: HashMap<UpstreamId, ((Born, u64), Duration)>,
+    left: HashMap<UpstreamId, ((StartTime, u64), Duration)>,
     /// When the store last became available again.
     recovered_at: Option<Duration>,
 }
@@ -201,7 +201,7 @@
     }
 
     /// Applies an entry that was received at `now`.
-    pub fn state(&mut self, entry: Entry, now: Duration) -> Change {
+    pub fn apply(&mut self, entry: Entry, now: Duration) -> Change {
         let id = entry.life.id.clone();
         let outdated = self.left.get(&id).is_some_and(|(last, _)| entry.order() <= *last);
         if outdated {
@@ -244,15 +244,15 @@
     /// decoded because another program wrote it. The upstream is removed until
     /// its next entry, due within about a second: a host that starts now reads
     /// only the invalid record, and all hosts must list the same upstreams.
-    pub fn spoil(&mut self, id: &UpstreamId, now: Duration) -> Change {
+    pub fn handle_invalid_record(&mut self, id: &UpstreamId, now: Duration) -> Change {
         self.remove(id, now)
     }
 
     /// Handles that the store no longer lists `id` at `now`. The upstream is
-    /// removed, or kept as missing for up to [`RETURN_TIME`] after an outage of
+    /// removed, or kept as missing for up to [`REPUBLISH_GRACE`] after an outage of
     /// the store unless it was leaving.
     pub fn unlist(&mut self, id: &UpstreamId, now: Duration) -> Change {
-        let grace = self.recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+        let grace = self.recovered_at.map(|at| at + REPUBLISH_GRACE).filter(|until| now < *until);
         match (self.entries.get(id), grace) {
             (None, _) => Change::None,
             (Some(entry), Some(until)) if !entry.leaving => {
@@ -264,7 +264,7 @@
     }
 
     /// Records that the store became available again at `now`.
-    pub fn returned(&mut self, now: Duration) {
+    pub fn store_recovered(&mut self, now: Duration) {
         self.recovered_at = Some(now);
     }
 
--- a/crates/core/tests/cache_news.rs
+++ b/crates/core/tests/cache_news.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
+use marjoram_core::cache_updates::UpdateQueue;
 use marjoram_core::exchange::{Part, PartId};
-use marjoram_core::holdings::{CacheId, Event, Holdings, Page};
-use marjoram_core::news::Digest;
+use marjoram_core::part_index::{CacheId, Event, Page, PartIndex};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,8 +21,8 @@
 const TOKENS: u64 = 13_300;
 
 struct Host {
-    holdings: Holdings,
-    digest: Digest,
+    holdings: PartIndex,
+    digest: UpdateQueue,
     turn: usize,
 }
 
@@ -31,7 +31,7 @@
 fn right(per_s: f64, seconds: u32, tells: bool) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let cache = CacheId::new("1");
-    let new = |_| Host { holdings: Holdings::new(), digest: Digest::new(), turn: 0 };
+    let new = |_| Host { holdings: PartIndex::new(), digest: UpdateQueue::new(), turn: 0 };
     let mut hosts: Vec<Host> = (0..HOSTS).map(new).collect();
     let (mut kept, mut number) = (Vec::<u64>::new(), 0);
     let (mut agree, mut seen) = (0u64, 0u64);
@@ -55,7 +55,7 @@
         }
         let page = Page { epoch: 1, next: number + 1, lost: false, events };
         for host in hosts.iter_mut().take(TELLERS) {
-            let large = host.holdings.large(&page);
+            let large = host.holdings.large_part_events(&page);
             host.digest.add(9, page.epoch, &large, now);
             host.holdings.apply(&page);
         }
@@ -63,10 +63,11 @@
             let host = &mut hosts[teller];
             let first = host.turn;
             host.turn = (first + FANOUT) % HOSTS;
-            let news = host.digest.lately(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
+            let news = host.digest.recent(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
             for target in (first..first + FANOUT).map(|i| i % HOSTS).filter(|t| *t >= TELLERS) {
                 if tells && !rng.random_bool(LOSS) {
-                    news.iter().for_each(|n| hosts[target].holdings.hear(n.epoch, &n.event()));
+                    news.iter()
+                        .for_each(|n| hosts[target].holdings.apply_remote(n.epoch, &n.event()));
                 }
             }
         }
@@ -74,7 +75,7 @@
             for host in &hosts {
                 for part in &kept {
                     let parts = [Part { id: PartId(*part), tokens: TOKENS }];
-                    agree += u64::from(host.holdings.held(cache, &parts) > 0);
+                    agree += u64::from(host.holdings.cached_tokens(cache, &parts) > 0);
                     seen += 1;
                 }
             }
@@ -97,9 +98,9 @@
     let cache = CacheId::new("1");
     let event = |n| Event { number: n, cache, part: PartId(n), tokens: TOKENS };
     let events: Vec<Event> = (0..1_000).map(event).collect();
-    let mut digest = Digest::new();
+    let mut digest = UpdateQueue::new();
     digest.add(9, 1, &events, PERIOD);
-    let told = digest.lately(PERIOD, PERIOD);
+    let told = digest.recent(PERIOD, PERIOD);
     assert!(told.len() < 64, "{} events do not fit into a greeting", told.len());
     assert_eq!(told[0].event(), event(999));
 }
@@ -109,10 +110,10 @@
 fn a_part_that_is_read_in_pieces_is_told_of_once_and_whole() {
     let cache = CacheId::new("1");
     let event = |number, part, tokens| Event { number, cache, part: PartId(part), tokens };
-    let mut digest = Digest::new();
+    let mut digest = UpdateQueue::new();
     for piece in 1..=4 {
         digest.add(9, 1, &[event(piece, 7, piece * 2_048), event(piece + 4, 8, 0)], PERIOD);
     }
-    let told: Vec<Event> = digest.lately(PERIOD, PERIOD).iter().map(|news| news.event()).collect();
+    let told: Vec<Event> = digest.recent(PERIOD, PERIOD).iter().map(|news| news.event()).collect();
     assert_eq!(told, [event(8, 8, 0), event(4, 7, 8_192)]);
 }
--- a/crates/core/tests/feed_model.rs
+++ b/crates/core/tests/feed_model.rs
@@ -14,7 +14,7 @@
 
 use std::collections::BTreeSet;
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::feed::{self, Cursor};
 use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
 use marjoram_core::wire::{CacheEvent, CacheEvents, EventKind};
@@ -40,13 +40,13 @@
 }
 
 struct World {
-    life: Life,
+    life: CacheGeneration,
     cache: BTreeSet<u64>,
     events: Vec<CacheEvent>,
     next: u64,
     /// An event of this incarnation was lost.
     lossy: bool,
-    picture: Picture,
+    cache_index: CacheIndex,
     cursor: Option<Cursor>,
 }
 
@@ -72,9 +72,9 @@
         let events: Vec<_> =
             self.events.iter().filter(|e| e.seq >= from).take(limit).cloned().collect();
         let next = events.last().map(|e| e.seq + 1).unwrap_or(from);
-        let Life { incarnation, version } = self.life;
+        let CacheGeneration { incarnation, version } = self.life;
         let read = CacheEvents { incarnation, version, next, events };
-        let (cursor, _) = feed::apply(&self.picture, SLOT, before, &read);
+        let (cursor, _) = feed::apply(&self.cache_index, SLOT, before, &read);
         self.cursor = Some(cursor);
         let same = before.is_none_or(|c| c.life.incarnation == incarnation);
         same && self.events.last().is_none_or(|e| e.seq < cursor.next)
@@ -117,12 +117,12 @@
 
     fn init_test(_: &()) -> World {
         World {
-            life: Life { incarnation: Incarnation(1), version: ModelVersion(1) },
+            life: CacheGeneration { incarnation: Incarnation(1), version: ModelVersion(1) },
             cache: BTreeSet::new(),
             events: Vec::new(),
             next: 0,
             lossy: false,
-            picture: Picture::new(),
+            cache_index: CacheIndex::new(),
             cursor: None,
         }
     }
@@ -158,7 +158,7 @@
             }
             Step::Lose => {
                 world.cursor = None;
-                world.picture.clear(SLOT);
+                world.cache_index.clear(SLOT);
             }
         }
         world
@@ -168,7 +168,8 @@
         while !world.read(4) {}
         check(&world);
         if !world.lossy {
-            let mut held: Vec<u64> = world.picture.held(SLOT).iter().map(|b| b.0).collect();
+            let mut held: Vec<u64> =
+                world.cache_index.blocks_of(SLOT).iter().map(|b| b.0).collect();
             held.sort();
             assert_eq!(held, world.cache.iter().copied().collect::<Vec<_>>(), "read to the end");
         }
@@ -177,8 +178,8 @@
 
 /// The picture holds nothing of another incarnation.
 fn check(world: &World) {
-    assert_eq!(world.picture.life(SLOT), Some(world.life));
-    for block in world.picture.held(SLOT) {
+    assert_eq!(world.cache_index.life(SLOT), Some(world.life));
+    for block in world.cache_index.blocks_of(SLOT) {
         assert_eq!(block.0 >> 32, world.life.incarnation.0, "entry of a dead incarnation");
     }
 }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -5,7 +5,7 @@
 //! it runs moves one token a step; a step takes longer while it reads. Hosts
 //! decide by what they have sent themselves and by what the others last told.
 
-use marjoram_core::place::{self, Candidate, Copying, Need, WeightsAge};
+use marjoram_core::place::{self, Candidate, CopyableCache, Need, WeightsAge};
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -126,12 +126,12 @@
     let keeps = |e: &Engine| ask.part.is_some_and(|p| e.kept.contains(&p));
     let any = engines.iter().any(keeps);
     let places: Vec<u64> = (0..engines.len() as u64).collect();
-    let lanes = place::lane(&places, 0.25, shared > 0);
+    let lanes = place::pool_partition(&places, 0.25, shared > 0);
     let views: Vec<Candidate> = engines
         .iter()
         .zip(lanes)
         .zip(&places)
-        .map(|((e, lane), place)| Candidate {
+        .map(|((e, in_partition), place)| Candidate {
             rank: place::rank(ask.part.unwrap_or_default(), *place),
             unread: e.unread(ask.host, now, trial.told_after),
             running: 0,
@@ -141,13 +141,13 @@
             pace: PACE,
             held: if trial.events && keeps(e) { shared } else { 0 },
             copy: (trial.events && any && !keeps(e))
-                .then_some(Copying { held: shared, token_ms: 0.0024 }),
+                .then_some(CopyableCache { held: shared, token_ms: 0.0024 }),
             failures: 0.0,
-            far: false,
+            remote: false,
             weights: 1,
-            age: WeightsAge::Good,
-            lane,
-            drawn: true,
+            age: WeightsAge::Current,
+            in_partition,
+            sampled: true,
         })
         .collect();
     let target = if shared > 0 { 800.0 } else { 400.0 };
@@ -155,7 +155,7 @@
     let choice = place::place(Need { input, shared, output: 30, target }, &views).unwrap();
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
     let ahead = views[choice.engine].unread;
-    if trial.waits && place::waits(input, ahead, ms(now - ask.arrived), ms(10_000.0)) {
+    if trial.waits && place::must_wait(input, ahead, ms(now - ask.arrived), ms(10_000.0)) {
         return Some(ask);
     }
     let copied = any && choice.copies;
--- a/crates/core/tests/picture_model.rs
+++ b/crates/core/tests/picture_model.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -21,22 +21,24 @@
 
 #[derive(Debug, Clone, Default)]
 struct Model {
-    slots: HashMap<u8, (Life, HashSet<u64>)>,
+    slots: HashMap<u8, (CacheGeneration, HashSet<u64>)>,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Stored(u8, Life, Vec<u64>),
-    Predicted(u8, Life, Vec<u64>),
-    Removed(u8, Life, Vec<u64>),
-    Begin(u8, Life),
+    Stored(u8, CacheGeneration, Vec<u64>),
+    Predicted(u8, CacheGeneration, Vec<u64>),
+    Removed(u8, CacheGeneration, Vec<u64>),
+    Begin(u8, CacheGeneration),
     Clear(u8),
     Query(Vec<u64>, Vec<u8>),
 }
 
-fn life() -> impl Strategy<Value = Life> {
-    (0u64..3, 1u32..3)
-        .prop_map(|(i, v)| Life { incarnation: Incarnation(i), version: ModelVersion(v) })
+fn life() -> impl Strategy<Value = CacheGeneration> {
+    (0u64..3, 1u32..3).prop_map(|(i, v)| CacheGeneration {
+        incarnation: Incarnation(i),
+        version: ModelVersion(v),
+    })
 }
 
 fn blocks() -> impl Strategy<Value = Vec<u64>> {
@@ -117,27 +119,29 @@
 }
 
 impl StateMachineTest for PictureTest {
-    type SystemUnderTest = Picture;
+    type SystemUnderTest = CacheIndex;
     type Reference = PictureModel;
 
-    fn init_test(_: &Model) -> Picture {
-        Picture::new()
+    fn init_test(_: &Model) -> CacheIndex {
+        CacheIndex::new()
     }
 
-    fn apply(picture: Picture, model: &Model, step: Step) -> Picture {
+    fn apply(cache_index: CacheIndex, model: &Model, step: Step) -> CacheIndex {
         match step {
-            Step::Stored(slot, life, blocks) => picture.stored(Slot(slot), life, &hashes(&blocks)),
+            Step::Stored(slot, life, blocks) => {
+                cache_index.stored(Slot(slot), life, &hashes(&blocks))
+            }
             Step::Predicted(slot, life, blocks) => {
-                picture.predicted(Slot(slot), life, &hashes(&blocks))
+                cache_index.predicted(Slot(slot), life, &hashes(&blocks))
             }
             Step::Removed(slot, life, blocks) => {
-                picture.removed(Slot(slot), life, &hashes(&blocks))
+                cache_index.removed(Slot(slot), life, &hashes(&blocks))
             }
-            Step::Begin(slot, life) => picture.begin(Slot(slot), life),
-            Step::Clear(slot) => picture.clear(Slot(slot)),
+            Step::Begin(slot, life) => cache_index.begin(Slot(slot), life),
+            Step::Clear(slot) => cache_index.clear(Slot(slot)),
             Step::Query(blocks, candidates) => {
                 let slots: Vec<Slot> = candidates.iter().map(|s| Slot(*s)).collect();
-                let got = picture.matched(&hashes(&blocks), &slots);
+                let got = cache_index.matched(&hashes(&blocks), &slots);
                 assert_eq!(
                     got,
                     model.matched(&blocks, &candidates),
@@ -145,15 +149,15 @@
                 );
             }
         }
-        picture
+        cache_index
     }
 
-    fn check_invariants(picture: &Picture, model: &Model) {
+    fn check_invariants(cache_index: &CacheIndex, model: &Model) {
         for slot in 0..SLOTS {
-            assert_eq!(picture.life(Slot(slot)), model.slots.get(&slot).map(|(life, _)| *life));
+            assert_eq!(cache_index.life(Slot(slot)), model.slots.get(&slot).map(|(life, _)| *life));
         }
         let held: u64 = model.slots.values().map(|(_, set)| set.len() as u64).sum();
-        assert_eq!(picture.counts().entries, held);
+        assert_eq!(cache_index.counts().entries, held);
     }
 }
 
--- a/crates/core/tests/registry_model.rs
+++ b/crates/core/tests/registry_model.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use marjoram_core::upstream::{Born, Entry, Life, RETURN_TIME, Registry, UpstreamId};
+use marjoram_core::upstream::{Entry, Instance, REPUBLISH_GRACE, Registry, StartTime, UpstreamId};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
@@ -43,7 +43,7 @@
 fn entry(who: usize, said: Said) -> Entry {
     let Said { born, beat, leaving } = said;
     Entry {
-        life: Life { id: id(who), born: Born(born) },
+        life: Instance { id: id(who), born: StartTime(born) },
         service: "s".into(),
         addr: ([10, 0, 0, who as u8], 80).into(),
         dc: String::from("dc").into(),
@@ -94,7 +94,7 @@
                     let (born, beat) = truth.said.last().map_or((1, 0), |s| (s.born, s.beat));
                     let said = Said { born, beat: beat + 1, leaving };
                     truth.said.push(said);
-                    registry.state(entry(who, said), now);
+                    registry.apply(entry(who, said), now);
                     truth.leaving |= leaving && truth.gone.is_none_or(|until| now < until);
                     if truth.gone.is_some_and(|until| now >= until) {
                         // It had left; a new statement lists it afresh.
@@ -107,14 +107,14 @@
                     let born = truth.said.last().map_or(1, |s| s.born + 1);
                     let said = Said { born, beat: 1, leaving };
                     truth.said.push(said);
-                    registry.state(entry(who, said), now);
+                    registry.apply(entry(who, said), now);
                     (truth.leaving, truth.gone) = (leaving, None);
                 }
                 Step::Again { who, back } => {
                     let truth = truths.entry(who).or_default();
                     let at = (truth.said.len() as u64).checked_sub(back);
                     if let Some(said) = at.map(|at| truth.said[at as usize]) {
-                        registry.state(entry(who, said), now);
+                        registry.apply(entry(who, said), now);
                         // The newest one shows that it is there after all.
                         let shows = back == 1 && truth.gone.is_some_and(|until| now < until);
                         truth.gone = truth.gone.filter(|_| !shows);
@@ -123,18 +123,18 @@
                 Step::Spoilt { who } => {
                     let truth = truths.entry(who).or_default();
                     truth.gone = Some(now);
-                    registry.spoil(&id(who), now);
+                    registry.handle_invalid_record(&id(who), now);
                 }
                 Step::Gone { who } => {
                     let truth = truths.entry(who).or_default();
-                    let grace = returned.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+                    let grace = returned.map(|at| at + REPUBLISH_GRACE).filter(|until| now < *until);
                     let kept = grace.filter(|_| !truth.leaving);
                     truth.gone = Some(truth.gone.filter(|_| kept.is_some()).or(kept).unwrap_or(now));
                     registry.unlist(&id(who), now);
                 }
                 Step::Returned => {
                     returned = Some(now);
-                    registry.returned(now);
+                    registry.store_recovered(now);
                 }
                 Step::Wait { ms } => now += Duration::from_millis(ms),
             }
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
+use marjoram_core::broadcast::{Host, plan};
 use marjoram_core::pace::{CALL_BYTES, MAX_CONCURRENT_CALLS};
-use marjoram_core::spread::{Host, plan};
 use model::{Outcome, Play, play};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -124,19 +124,19 @@
 fn nearly_all_hosts_hear_of_a_change_before_the_order_though_datagrams_are_lost(hosts: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(0x5eed);
     let others: Vec<u64> = (1..hosts).map(|_| rng.random()).collect();
-    let known: Vec<Host> = others.iter().map(|name| Host { name: *name, heard: true }).collect();
+    let known: Vec<Host> = others.iter().map(|name| Host { name: *name, alive: true }).collect();
     let (plays, mut heard) = (200, 0);
     for _ in 0..plays {
         let mut told = vec![false; others.len()];
         // Told twice within a tenth of a second, through other relays.
         for _ in 0..2 {
-            for leg in plan(&known, rng.random()) {
+            for datagram in plan(&known, rng.random()) {
                 if rng.random_bool(LOSS) {
                     continue;
                 }
-                told[leg.to] = true;
+                told[datagram.to] = true;
                 for (at, host) in others.iter().enumerate() {
-                    let passed = leg.slice.is_some_and(|slice| slice.holds(*host));
+                    let passed = datagram.slice.is_some_and(|slice| slice.contains(*host));
                     told[at] |= passed && !rng.random_bool(LOSS);
                 }
             }
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use marjoram_core::announce::{Announcements, Change, PERIOD};
+use marjoram_core::broadcast::fan_out;
 use marjoram_core::pace::{
     CALL_BYTES, CallLimiter, LinkSpeed, MAX_CONCURRENT_CALLS, MIN_POLL_INTERVAL,
 };
 use marjoram_core::rollout::{self, AnnouncedVersions};
-use marjoram_core::spread::fan_out;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -291,7 +291,7 @@
                 self.close(at);
                 Step::Announced(now)
             }
-            Step::Announced(since) if self.told.is_told(at as u64) || now >= since + TOLD => {
+            Step::Announced(since) if self.told.is_announced(at as u64) || now >= since + TOLD => {
                 Step::Delayed(now + ORDER_DELAY)
             }
             Step::Delayed(until) if now >= until => Step::Order,
--- a/crates/core/tests/spread_views.rs
+++ b/crates/core/tests/spread_views.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashSet;
 
-use marjoram_core::spread::{Host, fan_out, plan};
+use marjoram_core::broadcast::{Host, fan_out, plan};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 
 /// All of `names`, heard lately.
 fn heard(names: &[u64]) -> Vec<Host> {
-    names.iter().map(|name| Host { name: *name, heard: true }).collect()
+    names.iter().map(|name| Host { name: *name, alive: true }).collect()
 }
 
 /// A host's view: `hosts` without `unknown` of them.
@@ -34,15 +34,15 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..count).map(|_| rng.random()).collect();
         let sender = view(&mut rng, &hosts, unknown);
-        let legs = plan(&heard(&sender), rng.random());
-        assert!(legs.len() <= fan_out(sender.len()), "{} datagrams", legs.len());
+        let datagrams = plan(&heard(&sender), rng.random());
+        assert!(datagrams.len() <= fan_out(sender.len()), "{} datagrams", datagrams.len());
         let mut told = HashSet::new();
-        for leg in &legs {
-            let relay = sender[leg.to];
+        for datagram in &datagrams {
+            let relay = sender[datagram.to];
             assert!(told.insert(relay), "told twice");
-            let Some(slice) = leg.slice else { continue };
+            let Some(slice) = datagram.slice else { continue };
             let known: HashSet<u64> = view(&mut rng, &hosts, unknown).into_iter().collect();
-            for host in hosts.iter().filter(|host| slice.holds(**host) && **host != relay) {
+            for host in hosts.iter().filter(|host| slice.contains(**host) && **host != relay) {
                 // Told exactly by the relay of its slice, if that knows it:
                 // also where the sender does not.
                 assert_eq!(known.contains(host) && told.insert(*host), known.contains(host));
@@ -60,9 +60,9 @@
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..409).map(|_| rng.random()).collect();
-        for leg in plan(&heard(&hosts), seed) {
-            let slice = leg.slice.expect("many hosts");
-            let passed = hosts.iter().filter(|host| slice.holds(**host)).count();
+        for datagram in plan(&heard(&hosts), seed) {
+            let slice = datagram.slice.expect("many hosts");
+            let passed = hosts.iter().filter(|host| slice.contains(**host)).count();
             assert!(passed <= fan_out(hosts.len()) * 3, "one relay passes it on to {passed}");
         }
     }
@@ -77,10 +77,10 @@
     let mut missed = vec![0u32; hosts.len()];
     let messages = 200;
     for _ in 0..messages {
-        for leg in plan(&heard(&hosts), rng.random()) {
-            let slice = leg.slice.expect("many hosts");
+        for datagram in plan(&heard(&hosts), rng.random()) {
+            let slice = datagram.slice.expect("many hosts");
             for (at, host) in hosts.iter().enumerate() {
-                let lost = down.contains(&hosts[leg.to]) && slice.holds(*host);
+                let lost = down.contains(&hosts[datagram.to]) && slice.contains(*host);
                 missed[at] += u32::from(lost && !down.contains(host));
             }
         }
@@ -98,14 +98,16 @@
 fn hosts_that_are_down_cut_no_others_off(down: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let names: Vec<u64> = (0..294).map(|_| rng.random()).collect();
-    let host = |(at, name): (usize, &u64)| Host { name: *name, heard: at >= down };
+    let host = |(at, name): (usize, &u64)| Host { name: *name, alive: at >= down };
     let hosts: Vec<Host> = names.iter().enumerate().map(host).collect();
     for _ in 0..SEEDS {
-        let legs = plan(&hosts, rng.random());
+        let datagrams = plan(&hosts, rng.random());
         let told = |name: u64| {
-            legs.iter().any(|leg| hosts[leg.to].heard && leg.slice.is_some_and(|s| s.holds(name)))
+            datagrams.iter().any(|datagram| {
+                hosts[datagram.to].alive && datagram.slice.is_some_and(|s| s.contains(name))
+            })
         };
-        let missed = hosts.iter().filter(|host| host.heard && !told(host.name)).count();
+        let missed = hosts.iter().filter(|host| host.alive && !told(host.name)).count();
         assert_eq!(missed, 0, "living hosts not told");
     }
 }
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -21,7 +21,7 @@
 use cadence::prelude::*;
 use eventsource_stream::Eventsource;
 use futures::{Stream, StreamExt};
-use marjoram_core::cache::{Life, Slot};
+use marjoram_core::cache::{CacheGeneration, Slot};
 use marjoram_core::ids::{ModelVersion, Tokens};
 use marjoram_core::wire::{Chunk, NOT_EXECUTED, Usage, WEIGHTS_VERSION};
 use ntex::http::client::{Client, ClientResponse};
@@ -84,7 +84,7 @@
     version: ModelVersion,
     inflight: Inflight,
     /// The engine's incarnation and weights when the request was sent.
-    life: Option<Life>,
+    life: Option<CacheGeneration>,
     /// Prompt tokens the engine has to read before the first chunk, and when the
     /// request was sent.
     tokens_ahead: Tokens,
@@ -277,7 +277,7 @@
     node: &Arc<Node>,
     job: &mut Job,
     engine: &Engine,
-    life: Option<Life>,
+    life: Option<CacheGeneration>,
     ran: Option<Duration>,
 ) {
     job.crashed = true;
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -4,12 +4,12 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use marjoram_core::cache::{Life, Slot};
+use marjoram_core::cache::{CacheGeneration, Slot};
 use marjoram_core::config::Routing;
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::ids::{ModelVersion, Priority, RequestId, Tokens, WorkspaceId};
 use marjoram_core::poison;
-use marjoram_core::policy::{Ask, Candidate};
+use marjoram_core::policy::{Candidate, PolicyInput};
 use marjoram_core::prefix::{BLOCK_TOKENS, Prefix};
 use marjoram_core::wire::{CompletionRequest, EngineRequest};
 
@@ -145,8 +145,8 @@
             .collect();
         let newest = engines.iter().map(|(_, version)| *version).max().unwrap_or_default();
         let (policy, params) = (self.routing.policy, self.routing.params);
-        let ask = Ask { prefix: self.prefix(newest), params: &params };
-        let Some(index) = node.policies.pick(policy, ask, &candidates) else {
+        let policy_input = PolicyInput { prefix: self.prefix(newest), params: &params };
+        let Some(index) = node.policies.pick(policy, policy_input, &candidates) else {
             return Err(self.give_up());
         };
         let cached = u64::from(candidates[index].matched) * BLOCK_TOKENS as u64;
@@ -235,6 +235,6 @@
 }
 
 /// The weights version of an engine in `life`; version 1 while that is not known.
-pub fn version(life: Option<Life>) -> ModelVersion {
+pub fn version(life: Option<CacheGeneration>) -> ModelVersion {
     life.map(|life| life.version).unwrap_or(ModelVersion(1))
 }
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -11,7 +11,7 @@
 use arc_swap::ArcSwap;
 use cadence::{BufferedUdpMetricSink, QueuingMetricSink, StatsdClient};
 use marjoram_core::admission::{Budget, PrefillTime};
-use marjoram_core::cache::{MAX_SLOTS, Picture, Slot};
+use marjoram_core::cache::{CacheIndex, MAX_SLOTS, Slot};
 use marjoram_core::claims::Claims;
 use marjoram_core::config::{Config, Routing};
 use marjoram_core::feed::Cursor;
@@ -111,7 +111,7 @@
     /// Hosts of the host list last read.
     pub pool: ArcSwap<Pool>,
     /// Index of the blocks in each engine's cache.
-    pub cache_index: Picture,
+    pub cache_index: CacheIndex,
     /// One instance of every policy.
     pub policies: policy::Router,
     /// Requests in flight from this node, by slot.
@@ -168,7 +168,7 @@
             settings,
             active: ArcSwap::default(),
             pool: ArcSwap::default(),
-            cache_index: Picture::new(),
+            cache_index: CacheIndex::new(),
             policies: policy::Router::new(),
             inflight: std::array::from_fn(|_| AtomicU32::new(0)),
             pending: std::array::from_fn(|_| AtomicU64::new(0)),
--- a/crates/router/src/poison.rs
+++ b/crates/router/src/poison.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use marjoram_core::cache::Life;
+use marjoram_core::cache::CacheGeneration;
 use marjoram_core::wire::LoadReport;
 use ntex::http::client::Client;
 use tokio::net::TcpStream;
@@ -35,7 +35,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Hash that identifies one incarnation of an engine.
-fn key(engine: &Engine, life: Option<Life>) -> u64 {
+fn key(engine: &Engine, life: Option<CacheGeneration>) -> u64 {
     let incarnation = life.map(|life| life.incarnation.0);
     xxh3_64(format!("{}@{incarnation:?}", engine.addr).as_bytes())
 }
@@ -45,7 +45,7 @@
 pub fn handle_broken(
     node: &Arc<Node>,
     engine: &Engine,
-    life: Option<Life>,
+    life: Option<CacheGeneration>,
     request: BrokenCompletion,
 ) {
     let listed = |e: &Engine| e.addr == engine.addr && !e.leaving;
@@ -60,14 +60,15 @@
 
 /// Whether the engine at `addr`, which has just broken completions in `life`, has
 /// crashed: it refuses connections, or a restarted process already accepts them.
-async fn has_crashed(addr: &str, life: Option<Life>) -> bool {
+async fn has_crashed(addr: &str, life: Option<CacheGeneration>) -> bool {
     match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
         Ok(Ok(_)) => {
             let url = format!("http://{addr}/v1/load");
             let report =
                 follow::get_json::<LoadReport>(&Client::new(), &url, CONNECT_TIMEOUT).await;
-            let other = |life: Life| report.is_ok_and(|r| r.incarnation != life.incarnation);
+            let other =
+                |life: CacheGeneration| report.is_ok_and(|r| r.incarnation != life.incarnation);
             life.is_some_and(other)
         }
         Err(_) => false,
@@ -75,7 +76,7 @@
 }
 
 /// Checks whether an engine has crashed and, if so, reports the completions it broke.
-async fn check_for_crash(node: Arc<Node>, addr: String, life: Option<Life>, key: u64) {
+async fn check_for_crash(node: Arc<Node>, addr: String, life: Option<CacheGeneration>, key: u64) {
     ntex::time::sleep(GATHER_DELAY).await;
     let crashed = has_crashed(&addr, life).await;
     let reports = node.poison.take_crash_reports(key);
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use marjoram_core::exchange::Mark;
+use marjoram_core::exchange::ResponseMetadata;
 use marjoram_platform::headers;
 
 use super::answer::{self, ReadError};
@@ -32,7 +32,7 @@
     /// The head of the answer.
     pub head: ResponseHead,
     /// What its headers say of the send.
-    pub mark: Mark,
+    pub mark: ResponseMetadata,
     pooled: PooledConn,
     body: Body,
 }
--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use marjoram_core::cache_updates::CacheUpdate;
 use marjoram_core::catalog::Role;
-use marjoram_core::holdings::{Holdings, Page};
-use marjoram_core::news::News;
+use marjoram_core::part_index::{Page, PartIndex};
 use marjoram_core::switches::Mechanism;
 use marjoram_platform::engine::{self, EVENTS_WAIT_MS, WAIT_HEADER};
 
@@ -100,7 +100,7 @@
 
 /// Applies cache updates that another host has forwarded, except for caches whose
 /// events this host reads itself.
-pub fn hear(site: &Site, news: &[News]) {
+pub fn hear(site: &Site, news: &[CacheUpdate]) {
     let engines: HashMap<u64, Rc<Upstream>> = match news.is_empty() {
         true => return,
         false => site.fleet.all().into_iter().map(|u| (u.key, u)).collect(),
@@ -109,10 +109,10 @@
         let event = item.event();
         match (engines.get(&item.source), site.stores.get(item.source)) {
             (Some(engine), _) if !engine.followed.get() => {
-                engine.kept.borrow_mut().hear(item.epoch, &event);
+                engine.kept.borrow_mut().apply_remote(item.epoch, &event);
             }
             (None, Some(store)) if !store.followed.get() => {
-                store.kept.borrow_mut().hear(item.epoch, &event);
+                store.kept.borrow_mut().apply_remote(item.epoch, &event);
             }
             _ => {}
         }
@@ -120,10 +120,15 @@
 }
 
 /// Queues the events of `page` on large parts for the other hosts. `page` must not
-/// have been applied to `holdings` yet.
-fn forward(site: &Site, source: Source, holdings: &Holdings, page: &Page) {
+/// have been applied to `part_index` yet.
+fn forward(site: &Site, source: Source, part_index: &PartIndex, page: &Page) {
     if source.is_forwarded(site) {
-        site.news.borrow_mut().add(source.key, page.epoch, &holdings.large(page), site.now());
+        site.news.borrow_mut().add(
+            source.key,
+            page.epoch,
+            &part_index.large_part_events(page),
+            site.now(),
+        );
     }
 }
 
@@ -170,7 +175,7 @@
                 // The contents cannot be used while the store is unreachable.
                 store.kept.borrow_mut().clear();
                 if !std::mem::replace(&mut down, true) {
-                    site.news.borrow_mut().add_loss(source.key, site.now());
+                    site.news.borrow_mut().add_removed_cache(source.key, site.now());
                     tracing::warn!(target: "cachefeed", %addr, why, "cache store unreachable");
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/duty.rs
@@ -22,7 +22,7 @@
 use marjoram_core::leadership::{LeaderTerm, LeadershipChange, ORDER_MARGIN};
 use marjoram_core::pace::{self, CallLimiter};
 use marjoram_core::rollout::{self, AnnouncedVersions};
-use marjoram_core::upstream::{Life, Weights};
+use marjoram_core::upstream::{Instance, Weights};
 use marjoram_platform::store;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
@@ -81,7 +81,7 @@
     leader_term: RefCell<LeaderTerm>,
     /// Set once the host has left the group for good, when the process stops.
     released: Cell<bool>,
-    engine_states: RefCell<HashMap<Life, EngineState>>,
+    engine_states: RefCell<HashMap<Instance, EngineState>>,
     /// Limits concurrent calls to engines.
     call_limit: Semaphore,
     /// Decides when the next call may begin.
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -8,9 +8,9 @@
 
 use marjoram_core::exchange::{Part, PartId};
 use marjoram_core::health::Health;
-use marjoram_core::holdings::{CacheId, Holdings};
 use marjoram_core::host::DataCentre;
-use marjoram_core::upstream::{Entry, Life, UpstreamId};
+use marjoram_core::part_index::{CacheId, PartIndex};
+use marjoram_core::upstream::{Entry, Instance, UpstreamId};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
 /// One upstream.
 pub struct Upstream {
     /// Id and incarnation.
-    pub life: Life,
+    pub life: Instance,
     /// Hash that identifies the incarnation in messages between hosts.
     pub key: u64,
     /// Hash of its address, for rendezvous hashing.
@@ -74,7 +74,7 @@
     /// Until when other hosts' unreachable reports count.
     reported_unreachable_until: Cell<Option<Duration>>,
     /// Parts in its caches, according to its events.
-    pub kept: RefCell<Holdings>,
+    pub kept: RefCell<PartIndex>,
     /// This host is reading its events.
     pub followed: Cell<bool>,
     /// A request for the weights that it serves is in progress.
@@ -196,11 +196,11 @@
     /// Leading tokens of the prefix path `shared` that are in `cache`: according
     /// to its events, or because this host has just sent it a prompt that begins
     /// with them.
-    pub fn held(&self, cache: CacheId, shared: &[Part], now: Duration) -> u64 {
+    pub fn cached_tokens(&self, cache: CacheId, shared: &[Part], now: Duration) -> u64 {
         let span = self.assumed_cached_ttl();
         let known = self.assumed_parts.borrow();
         let read = |p: &Part| known.get(&(cache, p.id)).is_some_and(|at| now < *at + span);
-        self.kept.borrow().held_or(cache, shared, read)
+        self.kept.borrow().cached_tokens_assuming(cache, shared, read)
     }
 
     /// Records that a prompt with the prefix path `shared` was read into `cache`
@@ -300,7 +300,7 @@
     }
 
     /// Removes one incarnation of an upstream and closes its idle connections.
-    pub fn remove(&self, life: &Life) {
+    pub fn remove(&self, life: &Instance) {
         if let Some(upstream) = self.get(life) {
             self.all.borrow_mut().remove(&life.id);
             upstream.pool.clear();
@@ -324,7 +324,7 @@
     }
 
     /// The upstream in this incarnation, unless that has ended.
-    pub fn get(&self, life: &Life) -> Option<Rc<Upstream>> {
+    pub fn get(&self, life: &Instance) -> Option<Rc<Upstream>> {
         self.all.borrow().get(&life.id).filter(|u| u.life == *life).cloned()
     }
 
--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_core::place::FRESH_HOSTS;
+use marjoram_core::place::SINGLE_ROUND_HOSTS;
 use marjoram_platform::store::{self, Record};
 
 use super::Sink;
@@ -65,7 +65,7 @@
 }
 
 fn interval_factor(site: &Site) -> u32 {
-    site.peers.count().div_ceil(FRESH_HOSTS) as u32
+    site.peers.count().div_ceil(SINGLE_ROUND_HOSTS) as u32
 }
 
 impl Sink for Hosts {
--- a/crates/router/src/proxy/follow/relay.rs
+++ b/crates/router/src/proxy/follow/relay.rs
@@ -13,7 +13,7 @@
 
 use std::rc::Rc;
 
-use marjoram_core::place::FRESH_HOSTS;
+use marjoram_core::place::SINGLE_ROUND_HOSTS;
 
 use super::Read;
 use crate::clock;
@@ -44,7 +44,7 @@
     /// The role of this host.
     pub fn of(site: &Site) -> Self {
         match site.peers.count() {
-            hosts if hosts <= FRESH_HOSTS => Self::Alone,
+            hosts if hosts <= SINGLE_ROUND_HOSTS => Self::Alone,
             _ if site.peers.has_most_capacity(site.room(), READERS) => Self::Reader,
             _ => Self::Listener,
         }
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -43,9 +43,9 @@
     let (id, now) = (registry_record.id(), site.now());
     let missing = site.registry.borrow().is_missing(id);
     let change = match registry_record {
-        RegistryRecord::Entry(entry) => site.registry.borrow_mut().state(entry.clone(), now),
+        RegistryRecord::Entry(entry) => site.registry.borrow_mut().apply(entry.clone(), now),
         RegistryRecord::Deleted(id) => site.registry.borrow_mut().unlist(id, now),
-        RegistryRecord::Invalid(id) => site.registry.borrow_mut().spoil(id, now),
+        RegistryRecord::Invalid(id) => site.registry.borrow_mut().handle_invalid_record(id, now),
     };
     upstream_changed(site, id, &change);
     match change {
@@ -196,6 +196,6 @@
     }
 
     fn returned(&mut self, site: &Site) {
-        site.registry.borrow_mut().returned(site.now());
+        site.registry.borrow_mut().store_recovered(site.now());
     }
 }
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -32,7 +32,7 @@
 
 /// Number of peers that get a heartbeat at once. If there are more, they take
 /// turns.
-pub const FANOUT: usize = place::FRESH_HOSTS - 1;
+pub const FANOUT: usize = place::SINGLE_ROUND_HOSTS - 1;
 
 /// How long a peer may be silent before it counts as gone, and, where there are
 /// many hosts, how many of its heartbeats may be missed: rarely is more than one
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use marjoram_core::spread::{self, Host, Slice};
+use marjoram_core::broadcast::{self, Host, Slice};
 use tokio::net::UdpSocket;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -51,7 +51,7 @@
         let hosts = self.present_hosts();
         let listed: Vec<Host> = hosts.iter().map(|(host, _)| *host).collect();
         let mut burst = Burst::default();
-        for target in spread::plan(&listed, rand::random()) {
+        for target in broadcast::plan(&listed, rand::random()) {
             let to = [hosts[target.to].1];
             let bytes = match target.slice {
                 None => send(&socket, &self.traffic, message, &to),
@@ -70,7 +70,7 @@
     /// `from`.
     pub fn pass_on(&self, slice: Slice, message: &Message, from: SocketAddr) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        let hosts = self.present_hosts().into_iter().filter(|(host, _)| slice.holds(host.name));
+        let hosts = self.present_hosts().into_iter().filter(|(host, _)| slice.contains(host.name));
         let addrs: Vec<SocketAddr> =
             hosts.map(|(_, addr)| addr).filter(|addr| *addr != from).collect();
         send(&socket, &self.traffic, message, &addrs);
@@ -114,7 +114,7 @@
             known.iter().filter(|(_, p)| now < p.last_heartbeat.unwrap_or(p.added) + gone);
         let host = |(name, p): (&String, &Peer)| {
             let host =
-                Host { name: xxh3_64(name.as_bytes()), heard: p.is_alive(now, recent_timeout) };
+                Host { name: xxh3_64(name.as_bytes()), alive: p.is_alive(now, recent_timeout) };
             (host, p.record.peers)
         };
         present.map(host).collect()
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
+use marjoram_core::broadcast::Slice;
+use marjoram_core::cache_updates::CacheUpdate;
 use marjoram_core::candidacy::ControlCapacity;
 use marjoram_core::leadership::CandidateStatus;
-use marjoram_core::news::News;
 use marjoram_core::poison::{CrashReport, Quarantined};
 use marjoram_core::quota::ledger::{Allocation, Sender, Usage};
-use marjoram_core::spread::Slice;
 use serde::{Deserialize, Serialize};
 
 use crate::proxy::fleet::Load;
@@ -67,7 +67,7 @@
     /// announcement.
     pub announcement_ages: Vec<(String, u64, u64)>,
     /// What caches have recently added and evicted.
-    pub news: Vec<News>,
+    pub news: Vec<CacheUpdate>,
     /// Whether it is a candidate for leadership of weights rollouts.
     pub candidate_status: CandidateStatus,
     /// Its capacity for that leadership.
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -51,7 +51,7 @@
 /// Waits until the latest change of `upstream` has been sent to all hosts once.
 pub async fn wait_until_sent(site: &Site, upstream: &Upstream) {
     let all = async {
-        while !site.notices.announcements.borrow().is_told(upstream.key) {
+        while !site.notices.announcements.borrow().is_announced(upstream.key) {
             site.notices.sent.notified().await;
         }
     };
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/greeting.rs
@@ -29,7 +29,7 @@
         open: site.is_ready(),
         loads,
         announcement_ages: recent_announcement_ages(site),
-        news: site.news.borrow_mut().lately(span, now),
+        news: site.news.borrow_mut().recent(span, now),
         candidate_status: site.candidate_status.get(),
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use marjoram_core::catalog::Role;
-use marjoram_core::place::FRESH_HOSTS;
+use marjoram_core::place::SINGLE_ROUND_HOSTS;
 use marjoram_core::poison::CrashReport;
 use marjoram_platform::engine;
 use marjoram_platform::store::Call;
@@ -54,7 +54,7 @@
 /// Key by which rendezvous hashing selects the detecting hosts.
 const DETECTION: &str = "crashes";
 
-/// Detecting hosts where there are more than [`FRESH_HOSTS`] hosts: two of the
+/// Detecting hosts where there are more than [`SINGLE_ROUND_HOSTS`] hosts: two of the
 /// three may be down or unreachable.
 const DETECTORS: usize = 3;
 
@@ -164,7 +164,7 @@
 /// The number of detecting hosts: all, where there are few.
 fn detectors(site: &Site) -> usize {
     match site.peers.count() {
-        hosts if hosts <= FRESH_HOSTS => hosts,
+        hosts if hosts <= SINGLE_ROUND_HOSTS => hosts,
         _ => DETECTORS,
     }
 }
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use marjoram_core::catalog::{Catalog, Workspace};
-use marjoram_core::exchange::Asked;
+use marjoram_core::exchange::RequestMetadata;
 use marjoram_core::quota::gate::{Admission, Mode};
 use marjoram_core::quota::ledger::{Allocation, Sender, Usage};
 use marjoram_core::quota::{COORDINATORS, Limit, Quota, REPORT_INTERVAL, RESERVATION_TIME, group};
@@ -63,7 +63,11 @@
 /// Admits or refuses a request of `workspace`; the charge if it is admitted and
 /// the workspace has a quota. When only a part is admitted, a hash of the attempt's
 /// id decides, which is the same on every host.
-pub fn admit(site: &Site, workspace: &Workspace, asked: &Asked) -> Result<Option<Charge>, Refusal> {
+pub fn admit(
+    site: &Site,
+    workspace: &Workspace,
+    asked: &RequestMetadata,
+) -> Result<Option<Charge>, Refusal> {
     let Some(quota) = workspace.quota else { return Ok(None) };
     if !site.recalled.get() {
         return Err(Refusal::not_run("other hosts not known yet", Duration::ZERO));
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -63,7 +63,7 @@
     match caller.call(&engine::report(), &headers, ANSWER).await {
         Ok(reply) if reply.status == 200 => {
             let report = engine::parse_report(&reply.body).map_err(|e| e.to_string())?;
-            match report.born.agrees(upstream.life.born) {
+            match report.born.may_equal(upstream.life.born) {
                 true => Ok(report),
                 false => Err(format!("report of another incarnation, started {}", report.born)),
             }
@@ -191,7 +191,7 @@
         Ok(reply) if reply.status == MISDIRECTED => Some(true),
         Ok(reply) if reply.status == 200 => Some(
             engine::parse_report(&reply.body)
-                .is_ok_and(|report| !report.born.agrees(upstream.life.born)),
+                .is_ok_and(|report| !report.born.may_equal(upstream.life.born)),
         ),
         Ok(_) => Some(false),
         Err(error) => {
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -11,11 +11,11 @@
 
 use bytes::{Bytes, BytesMut};
 use marjoram_core::catalog::{Catalog, Kind, Route, Workspace};
-use marjoram_core::exchange::Asked;
+use marjoram_core::exchange::RequestMetadata;
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::place;
 use marjoram_core::switches::Mechanism;
-use marjoram_core::upstream::Life;
+use marjoram_core::upstream::Instance;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::attempt::Opened;
@@ -48,7 +48,7 @@
     /// When its first byte was received.
     pub started: Duration,
     /// The parameters in its headers.
-    pub asked: Asked,
+    pub asked: RequestMetadata,
 }
 
 /// An upstream's answer to the request.
@@ -76,9 +76,9 @@
     /// The deadline of its answer.
     pub expires: Duration,
     /// Upstreams it was sent to.
-    tried: Vec<Life>,
+    tried: Vec<Instance>,
     /// Upstreams that could not be connected to.
-    unreachable: Vec<Life>,
+    unreachable: Vec<Instance>,
     /// An upstream may have begun to run it.
     may_have_run: bool,
     /// Sends so far, without those that could not connect.
@@ -94,7 +94,7 @@
     /// It has been held back until crashes at which it was in flight are analysed.
     withheld: Cell<bool>,
     /// The upstream of the last send.
-    pub last: Option<Life>,
+    pub last: Option<Instance>,
 }
 
 impl Exchange {
@@ -313,7 +313,7 @@
         let enabled = self.site.has(Mechanism::Waiting);
         enabled
             && prompt.is_some_and(|p| {
-                place::waits(p.input, chosen.upstream.load().unread, waited, limit)
+                place::must_wait(p.input, chosen.upstream.load().unread, waited, limit)
             })
     }
 
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -11,15 +11,15 @@
 use marjoram_core::catalog::{CacheStore, EngineSpec};
 use marjoram_core::exchange::{Part, Prompt};
 use marjoram_core::health::STALL_TIMEOUT;
-use marjoram_core::holdings::{self, BLOCK_SLACK, CacheId};
 use marjoram_core::host::DataCentre;
-use marjoram_core::place::{self, Candidate, Choice, Copying, Need, WeightsAge};
+use marjoram_core::part_index::{self, BLOCK_SLACK, CacheId};
+use marjoram_core::place::{self, Candidate, Choice, CopyableCache, Need, WeightsAge};
 use marjoram_core::plain::{self, PlainUpstream};
 use marjoram_core::poison;
 use marjoram_core::rollout::AnnouncedVersions;
 use marjoram_core::store_availability::StoreAvailability;
 use marjoram_core::switches::Mechanism;
-use marjoram_core::upstream::Life;
+use marjoram_core::upstream::Instance;
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -79,7 +79,7 @@
 /// An engine or cache store from which cached prompt parts can be copied.
 struct CopySource {
     /// The engine; `None` for a cache store.
-    engine: Option<Life>,
+    engine: Option<Instance>,
     addr: SocketAddr,
     dc: DataCentre,
     /// Version of the weights that computed the cached parts.
@@ -92,9 +92,9 @@
 
 impl CopySource {
     /// Size and cost of a copy to an engine in the data centre `to`.
-    fn copy_cost(&self, to: &DataCentre) -> Copying {
+    fn copy_cost(&self, to: &DataCentre) -> CopyableCache {
         let factor = if self.dc == *to { 1.0 } else { CROSS_DC_FACTOR };
-        Copying { held: self.cached, token_ms: self.token_ms * factor }
+        CopyableCache { held: self.cached, token_ms: self.token_ms * factor }
     }
 }
 
@@ -104,7 +104,7 @@
 fn best_source<'a>(
     sources: &'a [CopySource],
     weights: u64,
-    engine: &Life,
+    engine: &Instance,
     dc: &DataCentre,
 ) -> Option<&'a CopySource> {
     let others =
@@ -328,10 +328,10 @@
     ) -> Option<SocketAddr> {
         let unshared = prompt.input.saturating_sub(prompt.shared());
         let missing = choice.unread.saturating_sub(unshared);
-        if missing < holdings::LARGE || !self.site.has(Mechanism::Copies) {
+        if missing < part_index::LARGE_PART || !self.site.has(Mechanism::Copies) {
             return None;
         }
-        match place::home(views, views[choice.engine].weights) {
+        match place::preferred_engine(views, views[choice.engine].weights) {
             Some(preferred) if preferred != choice.engine => {
                 Some(engines[preferred].entry.borrow().addr)
             }
@@ -342,7 +342,8 @@
     /// The cache store that the prompt's shared parts are saved to: the first by
     /// rendezvous hashing of their prefix path.
     fn store_of(&self, prompt: &Prompt) -> Option<SocketAddr> {
-        let rank = |s: &&CacheStore| place::rank(prompt.chain(), self.site.stores.at(s.addr).key);
+        let rank =
+            |s: &&CacheStore| place::rank(prompt.prefix_hash(), self.site.stores.at(s.addr).key);
         self.stores().max_by_key(rank).map(|s| s.addr)
     }
 
@@ -377,13 +378,15 @@
         let own_dc = &self.site.settings.load().dc;
         let has = |mechanism| self.site.has(mechanism);
         let request = xxh3_64(self.id().as_bytes());
-        let prefix_path = if has(Mechanism::PreferredEngines) { prompt.chain() } else { request };
+        let prefix_path =
+            if has(Mechanism::PreferredEngines) { prompt.prefix_hash() } else { request };
         let places: Vec<u64> = engines.iter().map(|u| u.place).collect();
         let small_share = if has(Mechanism::SizePartitions) { SMALL_PROMPT_SHARE } else { 0.0 };
-        let partition = place::lane(&places, small_share, prompt.input >= place::LARGE);
+        let partition =
+            place::pool_partition(&places, small_share, prompt.input >= place::LARGE_PROMPT);
         let hosts = if has(Mechanism::EngineSampling) { self.site.peers.count() } else { 1 };
-        let drawn = place::draw(request, &places, &partition, hosts);
-        let view = |((u, in_partition), drawn): ((&&Rc<Upstream>, bool), bool)| {
+        let sampled = place::sample(request, &places, &partition, hosts);
+        let view = |((u, in_partition), sampled): ((&&Rc<Upstream>, bool), bool)| {
             let (load, health, entry) = (u.load(), u.health.borrow(), u.entry.borrow());
             let weights = u.weights(&prompt.model).unwrap_or_default();
             let source = best_source(sources, weights, &u.life, &entry.dc);
@@ -395,17 +398,17 @@
                 memory: load.memory,
                 capacity: spec.capacity,
                 pace: health.prefill_throughput().unwrap_or(DEFAULT_THROUGHPUT),
-                held: u.held(self.cache(weights), shared, now),
+                held: u.cached_tokens(self.cache(weights), shared, now),
                 copy: source.map(|s| s.copy_cost(&entry.dc)),
                 failures: health.failures(),
-                far: entry.dc != *own_dc,
+                remote: entry.dc != *own_dc,
                 weights,
                 age: WeightsAge::new(limit.replaced_for(weights), limit.cutoff),
-                lane: in_partition,
-                drawn,
+                in_partition,
+                sampled,
             }
         };
-        engines.iter().zip(partition).zip(drawn).map(view).collect()
+        engines.iter().zip(partition).zip(sampled).map(view).collect()
     }
 
     /// The configured cache stores; none if their use is switched off.
@@ -432,7 +435,7 @@
             if !versions.contains(&weights) {
                 versions.push(weights);
             }
-            let cached = engine.held(self.cache(weights), shared, now);
+            let cached = engine.cached_tokens(self.cache(weights), shared, now);
             if cached > 0 {
                 let (life, entry) = (Some(engine.life.clone()), engine.entry.borrow());
                 let (addr, dc) = (entry.addr, entry.dc.clone());
@@ -443,7 +446,7 @@
             let known = self.site.stores.at(store.addr);
             let token_ms = SHARED_LINK_FACTOR * copy_ms(spec.token_bytes, store.link_mbps);
             for &weights in &versions {
-                let cached = known.kept.borrow().held(self.cache(weights), shared);
+                let cached = known.kept.borrow().cached_tokens(self.cache(weights), shared);
                 if cached > 0 {
                     let (addr, dc) = (store.addr, store.dc.clone());
                     sources.push(CopySource { engine: None, addr, dc, weights, cached, token_ms });
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use marjoram_core::exchange::{Envelope, Part};
-use marjoram_core::holdings::CacheId;
+use marjoram_core::part_index::CacheId;
 use marjoram_platform::headers;
 
 use super::Exchange;
@@ -91,7 +91,7 @@
         let mut flight = Flight::new(upstream.clone(), chosen.prefill, memory, site.now());
         tracing::info!(target: "place", id = self.id(), upstream = %upstream.life,
             fingerprint = %self.fingerprint,
-            chain = prompt.map(|p| p.chain()), shared = prompt.map(|p| p.shared()), weights = chosen.weights,
+            chain = prompt.map(|p| p.prefix_hash()), shared = prompt.map(|p| p.shared()), weights = chosen.weights,
             salt = envelope.salt, fetch = envelope.fetch, save = envelope.save,
             input = prompt.map(|p| p.input), unread = chosen.prefill, ahead,
             running = upstream.load().running, wait_ms = chosen.expected_wait.as_millis() as u64,
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -13,12 +13,12 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use marjoram_core::budget::{Allowance, Budget};
+use marjoram_core::cache_updates::UpdateQueue;
 use marjoram_core::candidacy::ControlCapacity;
 use marjoram_core::catalog::Catalog;
 use marjoram_core::era::Era;
 use marjoram_core::host::HostSettings;
 use marjoram_core::leadership::CandidateStatus;
-use marjoram_core::news::Digest;
 use marjoram_core::policy::PolicyName;
 use marjoram_core::rollout::AnnouncedVersions;
 use marjoram_core::stop::Stop;
@@ -61,7 +61,7 @@
     /// The stores that hold prompt caches.
     pub stores: Stores,
     /// Cache updates to be sent to other hosts.
-    pub news: RefCell<Digest>,
+    pub news: RefCell<UpdateQueue>,
     /// Registry changes that hosts read for each other.
     pub relays: Relays,
     /// Announcements to be sent of engines that change their weights.
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -6,7 +6,7 @@
 
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::poison::{Quarantine, Quarantined, RecentCompletions, Suspects};
-use marjoram_core::upstream::Life;
+use marjoram_core::upstream::Instance;
 use tokio::sync::Notify;
 
 /// Most quarantine entries in one heartbeat, at about 90 bytes each.
@@ -31,7 +31,7 @@
     pub quarantine: RefCell<Quarantine>,
     /// Requests whose connections broke, by upstreams not yet known to have
     /// crashed.
-    pub broken: RefCell<HashMap<Life, Vec<Broken>>>,
+    pub broken: RefCell<HashMap<Instance, Vec<Broken>>>,
     /// Requests that completed recently.
     pub well: RefCell<RecentCompletions>,
     /// Quarantine entries learnt recently, for heartbeats.
--- a/crates/router/src/proxy/stores.rs
+++ b/crates/router/src/proxy/stores.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use marjoram_core::holdings::Holdings;
+use marjoram_core::part_index::PartIndex;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A cache store.
@@ -15,7 +15,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// Index of its contents, built from its events.
-    pub kept: RefCell<Holdings>,
+    pub kept: RefCell<PartIndex>,
     /// A task is reading its events.
     pub followed: Cell<bool>,
 }
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/warm.rs
@@ -126,7 +126,7 @@
     if !site.listed.get() {
         for entry in knowledge.upstreams {
             let id = entry.life.id.clone();
-            let change = site.registry.borrow_mut().state(entry, site.now());
+            let change = site.registry.borrow_mut().apply(entry, site.now());
             follow::upstream_changed(site, &id, &change);
         }
         for (name, record) in knowledge.hosts {
--- a/crates/router/src/warm.rs
+++ b/crates/router/src/warm.rs
@@ -23,7 +23,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use marjoram_core::cache::Life;
+use marjoram_core::cache::CacheGeneration;
 use marjoram_core::config::Config;
 use marjoram_core::feed::Cursor;
 use marjoram_core::members::Status;
@@ -77,7 +77,7 @@
     let pool = node.pool.load();
     let engines = pool.engines.iter().filter_map(|engine| {
         let Cursor { life, next } = cursors.get(&engine.slot).copied()?;
-        let blocks = node.cache_index.held(engine.slot).into_iter().map(|b| b.0).collect();
+        let blocks = node.cache_index.blocks_of(engine.slot).into_iter().map(|b| b.0).collect();
         Some(WireEngine {
             addr: engine.addr.clone(),
             incarnation: life.incarnation.0,
@@ -128,7 +128,7 @@
             continue;
         };
         let (incarnation, version, blocks) = received.entries();
-        let life = Life { incarnation, version };
+        let life = CacheGeneration { incarnation, version };
         node.cache_index.stored(engine.slot, life, &blocks);
         node.cursors.lock().unwrap().insert(engine.slot, Cursor { life, next: received.next });
     }
