--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -18,7 +18,7 @@
 
 use super::fleet::Upstream;
 use super::site::Site;
-use super::storeclient::Caller;
+use super::storeclient::HttpClient;
 use super::stores::Store;
 
 /// Time between checks for engines and stores that are not followed yet.
@@ -109,10 +109,10 @@
         let event = item.event();
         match (engines.get(&item.source), site.stores.get(item.source)) {
             (Some(engine), _) if !engine.followed.get() => {
-                engine.kept.borrow_mut().apply_remote(item.epoch, &event);
+                engine.cache_index.borrow_mut().apply_remote(item.epoch, &event);
             }
             (None, Some(store)) if !store.followed.get() => {
-                store.kept.borrow_mut().apply_remote(item.epoch, &event);
+                store.cache_index.borrow_mut().apply_remote(item.epoch, &event);
             }
             _ => {}
         }
@@ -135,18 +135,18 @@
 /// Reads the events of an engine until it ends or another host is to read them.
 async fn follow_engine(site: Rc<Site>, upstream: Rc<Upstream>, source: Source) {
     let addr = source.addr;
-    let mut caller = Caller::new(addr);
+    let mut client = HttpClient::new(addr);
     while site.fleet.get(&upstream.life).is_some() && source.is_reader(&site) {
-        let since = upstream.kept.borrow().next();
-        match read(&mut caller, since).await {
+        let since = upstream.cache_index.borrow().next();
+        match read(&mut client, since).await {
             Ok(page) => {
-                forward(&site, source, &upstream.kept.borrow(), &page);
-                upstream.kept.borrow_mut().apply(&page);
+                forward(&site, source, &upstream.cache_index.borrow(), &page);
+                upstream.cache_index.borrow_mut().apply(&page);
             }
             Err(why) => {
                 tracing::debug!(target: "cachefeed", upstream = %upstream.life, why, "failed to read cache events");
                 tokio::time::sleep(RETRY_PAUSE).await;
-                caller = Caller::new(addr);
+                client = HttpClient::new(addr);
             }
         }
     }
@@ -157,29 +157,29 @@
 /// that cannot be reached counts as empty, at all hosts.
 async fn follow_store(site: Rc<Site>, store: Rc<Store>, source: Source) {
     let addr = source.addr;
-    let mut caller = Caller::new(addr);
+    let mut client = HttpClient::new(addr);
     let mut down = false;
     while source.is_reader(&site) {
-        let since = store.kept.borrow().next();
-        match read(&mut caller, since).await {
+        let since = store.cache_index.borrow().next();
+        match read(&mut client, since).await {
             Ok(page) => {
                 if std::mem::take(&mut down) {
                     tracing::info!(target: "cachefeed", %addr, "cache store reachable again");
                 }
-                forward(&site, source, &store.kept.borrow(), &page);
-                if store.kept.borrow_mut().apply(&page) {
+                forward(&site, source, &store.cache_index.borrow(), &page);
+                if store.cache_index.borrow_mut().apply(&page) {
                     tracing::info!(target: "cachefeed", %addr, "cache store has lost its contents");
                 }
             }
             Err(why) => {
                 // The contents cannot be used while the store is unreachable.
-                store.kept.borrow_mut().clear();
+                store.cache_index.borrow_mut().clear();
                 if !std::mem::replace(&mut down, true) {
                     site.news.borrow_mut().add_removed_cache(source.key, site.now());
                     tracing::warn!(target: "cachefeed", %addr, why, "cache store unreachable");
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
-                caller = Caller::new(addr);
+                client = HttpClient::new(addr);
             }
         }
     }
@@ -187,12 +187,12 @@
 }
 
 /// Reads the events from `since` on; waits for new ones if there are none.
-async fn read(caller: &mut Caller, since: u64) -> Result<Page, String> {
+async fn read(client: &mut HttpClient, since: u64) -> Result<Page, String> {
     let wait = EVENTS_WAIT_MS.to_string();
     let limit = Duration::from_millis(EVENTS_WAIT_MS) + ANSWER_TIMEOUT;
     let call = engine::events(since);
     let reply =
-        caller.call(&call, &[(WAIT_HEADER, &wait)], limit).await.map_err(|e| e.to_string())?;
+        client.call(&call, &[(WAIT_HEADER, &wait)], limit).await.map_err(|e| e.to_string())?;
     match reply.status {
         200 => engine::parse_events(&reply.body).map_err(|e| e.to_string()),
         status => Err(format!("status {status}")),
--- a/crates/router/src/proxy/callers.rs
+++ b/crates/router/src/proxy/callers.rs
@@ -12,8 +12,8 @@
 use super::counters;
 use super::http1::{self, BadMessage, Body, Framing, Piece, RequestHead, ResponseWriter};
 use super::refusal::Refusal;
-use super::relay::{self, Outcome};
 use super::request::{Exchange, Request};
+use super::response::{self, Outcome};
 use super::site::Site;
 
 /// How long a connection with unread bytes is kept open after its last answer.
@@ -128,7 +128,7 @@
     let id = request.asked.attempt.clone().unwrap_or_default();
     let (outcome, exchange) = match Exchange::new(site, request) {
         Ok(mut exchange) => {
-            let outcome = relay::run(site, conn, &mut exchange, last).await;
+            let outcome = response::run(site, conn, &mut exchange, last).await;
             (outcome, Some(exchange))
         }
         Err(refusal) => (Outcome::Refused(refusal), None),
--- a/crates/router/src/proxy/entry.rs
+++ b/crates/router/src/proxy/entry.rs
@@ -102,7 +102,7 @@
         ("hosts", site.peers.open().len() as u64 + 1),
         ("upstreams", site.fleet.all().len() as u64),
         ("upstreams_paused", paused(site)),
-        ("upstream_requests", sum(|u| u64::from(u.own.get().running))),
+        ("upstream_requests", sum(|u| u64::from(u.local_load.get().running))),
         ("unread_tokens", sum(|u| u.load().unread)),
         ("requests_suspected", site.poison.counts().0 as u64),
         ("requests_quarantined", site.poison.counts().1 as u64),
@@ -164,7 +164,7 @@
                 "closed": u.is_closed(now), "paused": health.is_paused(now),
                 "silent_ms": health.stalled_for(now).as_millis() as u64,
                 "failures": health.failures(), "pace": health.prefill_throughput(),
-                "own": u.own.get(), "others": u.others.get(), "idle": u.pool.idle(),
+                "own": u.local_load.get(), "others": u.remote_load.get(), "idle": u.pool.idle(),
             })
         })
         .collect();
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -58,7 +58,7 @@
     /// Hash that identifies the incarnation in messages between hosts.
     pub key: u64,
     /// Hash of its address, for rendezvous hashing.
-    pub place: u64,
+    pub address_hash: u64,
     /// The rest of its registry entry.
     pub entry: RefCell<Entry>,
     /// Until when it gets no requests because its weights are being changed.
@@ -68,13 +68,13 @@
     /// Connections to it.
     pub pool: Pool,
     /// This host's requests there.
-    pub own: Cell<Load>,
+    pub local_load: Cell<Load>,
     /// Other hosts' requests there, from their last heartbeats.
-    pub others: Cell<Load>,
+    pub remote_load: Cell<Load>,
     /// Until when other hosts' unreachable reports count.
     reported_unreachable_until: Cell<Option<Duration>>,
     /// Parts in its caches, according to its events.
-    pub kept: RefCell<PartIndex>,
+    pub cache_index: RefCell<PartIndex>,
     /// This host is reading its events.
     pub followed: Cell<bool>,
     /// A request for the weights that it serves is in progress.
@@ -88,15 +88,15 @@
         Self {
             life: entry.life.clone(),
             key: xxh3_64(entry.life.to_string().as_bytes()),
-            place: xxh3_64(entry.addr.to_string().as_bytes()),
+            address_hash: xxh3_64(entry.addr.to_string().as_bytes()),
             entry: RefCell::new(entry),
             closed: Cell::default(),
             health: RefCell::default(),
             pool: Pool::default(),
-            own: Cell::default(),
-            others: Cell::default(),
+            local_load: Cell::default(),
+            remote_load: Cell::default(),
             reported_unreachable_until: Cell::default(),
-            kept: RefCell::default(),
+            cache_index: RefCell::default(),
             followed: Cell::default(),
             asking: Cell::default(),
             assumed_parts: RefCell::default(),
@@ -105,28 +105,30 @@
 
     /// All hosts' requests there.
     pub fn load(&self) -> Load {
-        self.own.get().plus(self.others.get())
+        self.local_load.get().plus(self.remote_load.get())
     }
 
     /// Records that a request to it got no answer.
-    pub fn failed(&self, failure: &Failure, now: Duration) {
+    pub fn record_failure(&self, failure: &Failure, now: Duration) {
         self.health.borrow_mut().record_response(false);
         if matches!(failure, Failure::Lost(..) | Failure::Silent(_)) {
-            self.doubt(now);
+            self.mark_unreachable(now);
         }
     }
 
     /// Marks it as unreachable. Its idle connections are closed, so that the next
     /// attempt begins with connecting and costs no request if the upstream is
     /// gone.
-    pub fn doubt(&self, now: Duration) {
+    pub fn mark_unreachable(&self, now: Duration) {
         self.health.borrow_mut().unreachable(now);
         self.pool.clear();
     }
 
     /// Takes in another host's report that the upstream is unreachable.
     pub fn note_unreachable_report(&self, now: Duration) {
-        if !self.health.borrow().was_alive(now, UNREACHABLE_REPORT_TTL) && !self.is_doubted(now) {
+        if !self.health.borrow().was_alive(now, UNREACHABLE_REPORT_TTL)
+            && !self.is_reported_unreachable(now)
+        {
             self.reported_unreachable_until.set(Some(now + UNREACHABLE_REPORT_TTL));
             self.pool.clear();
         }
@@ -134,7 +136,7 @@
 
     /// Whether another host's unreachable report counts at `now`: this host has
     /// received nothing from the upstream since.
-    pub fn is_doubted(&self, now: Duration) -> bool {
+    pub fn is_reported_unreachable(&self, now: Duration) -> bool {
         self.reported_unreachable_until.get().is_some_and(|until| now < until)
             && !self.health.borrow().was_alive(now, UNREACHABLE_REPORT_TTL)
     }
@@ -153,26 +155,26 @@
     /// Records its own report, just received, that it serves `version` of
     /// `model`. This may be older than the known version: an order that arrives
     /// late, after a restart, brings back replaced weights.
-    pub fn states(&self, model: &str, version: u64) {
+    pub fn record_report(&self, model: &str, version: u64) {
         let mut entry = self.entry.borrow_mut();
         let known = entry.weights.iter_mut().find(|w| w.model == model);
         if let Some(weights) = known.filter(|w| w.version > version) {
             weights.version = version;
         }
         drop(entry);
-        self.serves(model, version);
+        self.record_weights(model, version);
     }
 
     /// Records that it serves `version` of `model`. Lower versions are ignored; a
     /// higher one ends the change for which the engine was closed.
-    pub fn serves(&self, model: &str, version: u64) {
+    pub fn record_weights(&self, model: &str, version: u64) {
         let mut entry = self.entry.borrow_mut();
         match entry.weights.iter_mut().find(|w| w.model == model) {
             Some(weights) if version > weights.version => {
                 weights.version = version;
                 self.closed.set(None);
                 self.assumed_parts.borrow_mut().clear();
-                self.kept.borrow_mut().clear();
+                self.cache_index.borrow_mut().clear();
             }
             _ => {}
         }
@@ -200,7 +202,7 @@
         let span = self.assumed_cached_ttl();
         let known = self.assumed_parts.borrow();
         let read = |p: &Part| known.get(&(cache, p.id)).is_some_and(|at| now < *at + span);
-        self.kept.borrow().cached_tokens_assuming(cache, shared, read)
+        self.cache_index.borrow().cached_tokens_assuming(cache, shared, read)
     }
 
     /// Records that a prompt with the prefix path `shared` was read into `cache`
@@ -233,7 +235,7 @@
     /// Counts a request that is about to be sent at `now`.
     pub fn new(upstream: Rc<Upstream>, unread: u64, memory: u64, now: Duration) -> Self {
         let load = Load { running: 1, unread, memory };
-        upstream.own.set(upstream.own.get().plus(load));
+        upstream.local_load.set(upstream.local_load.get().plus(load));
         upstream.health.borrow_mut().begin_wait(now);
         Self { upstream, load, awaiting_first_output: true }
     }
@@ -241,8 +243,10 @@
     /// Records that the prompt has been processed, or that the answer has begun.
     pub fn read(&mut self) {
         let unread = std::mem::take(&mut self.load.unread);
-        let current = self.upstream.own.get();
-        self.upstream.own.set(Load { unread: current.unread.saturating_sub(unread), ..current });
+        let current = self.upstream.local_load.get();
+        self.upstream
+            .local_load
+            .set(Load { unread: current.unread.saturating_sub(unread), ..current });
         if std::mem::take(&mut self.awaiting_first_output) {
             self.upstream.health.borrow_mut().end_wait();
         }
@@ -252,8 +256,8 @@
 impl Drop for Flight {
     fn drop(&mut self) {
         self.read();
-        let current = self.upstream.own.get();
-        self.upstream.own.set(Load {
+        let current = self.upstream.local_load.get();
+        self.upstream.local_load.set(Load {
             running: current.running.saturating_sub(self.load.running),
             unread: current.unread,
             memory: current.memory.saturating_sub(self.load.memory),
@@ -284,7 +288,7 @@
                     current.slots = entry.slots;
                 }
                 for weights in &entry.weights {
-                    upstream.serves(&weights.model, weights.version);
+                    upstream.record_weights(&weights.model, weights.version);
                 }
             }
             former => {
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -16,7 +16,7 @@
 use marjoram_platform::store::{self, Record};
 
 use super::site::Site;
-use super::storeclient::Caller;
+use super::storeclient::HttpClient;
 use super::storelink::{ANSWER, Link, SLOW, call};
 use hosts::Hosts;
 use operators::Operators;
@@ -100,20 +100,20 @@
 
 /// Reads a topic for as long as the process runs.
 async fn follow<S: Sink>(site: Rc<Site>, mut sink: S) {
-    let mut caller = Caller::new(site.settings.load().store.addr);
+    let mut client = HttpClient::new(site.settings.load().store.addr);
     let mut link = Link::new(S::TOPIC);
     let mut from: Option<Offset> = None;
     loop {
         let asked = site.now();
         let valid = from.filter(|from| from.is_current(&site));
         let result = match valid {
-            None => list(&site, &mut caller, &mut sink, from).await,
+            None => list(&site, &mut client, &mut sink, from).await,
             Some(at) => tokio::select! {
-                read = read(&site, &mut caller, &mut sink, at) => read,
+                read = read(&site, &mut client, &mut sink, at) => read,
                 // A call that was waiting when the store became unavailable or
                 // changed its address may never be answered, so it is sent again.
-                () = site.regained.notified() => {
-                    caller = Caller::new(site.settings.load().store.addr);
+                () = site.store_recovered.notified() => {
+                    client = HttpClient::new(site.settings.load().store.addr);
                     continue;
                 }
             },
@@ -122,7 +122,7 @@
             Ok(next) => {
                 if link.up() {
                     sink.returned(&site);
-                    site.regained.notify_waiters();
+                    site.store_recovered.notify_waiters();
                 }
                 match site.now() - asked > SLOW {
                     _ if S::pause(&site).is_none() => {}
@@ -147,7 +147,7 @@
                 site.note_store_error();
                 sink.done(&site, None);
                 tokio::time::sleep(pause).await;
-                caller = Caller::new(site.settings.load().store.addr);
+                client = HttpClient::new(site.settings.load().store.addr);
             }
         }
     }
@@ -170,7 +170,7 @@
 /// Waits until an era newer than `era` is known.
 async fn newer_era(site: &Site, era: Era) {
     loop {
-        let notified = site.regained.notified();
+        let notified = site.store_recovered.notified();
         if site.era.get() > Some(era) {
             return;
         }
@@ -183,7 +183,7 @@
 /// they had been read before.
 async fn list<S: Sink>(
     site: &Rc<Site>,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     sink: &mut S,
     last: Option<Offset>,
 ) -> Result<Option<Offset>, String> {
@@ -192,7 +192,7 @@
     let mut keys = Vec::new();
     loop {
         let ask = store::newest(S::TOPIC, after.as_deref());
-        let reply = call(site, caller, &ask, ANSWER).await?;
+        let reply = call(site, client, &ask, ANSWER).await?;
         if reply.status != 200 {
             return Err(format!("list of {}: status {}", S::TOPIC, reply.status));
         }
@@ -226,13 +226,13 @@
 /// records must be listed again.
 async fn read<S: Sink>(
     site: &Site,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     sink: &mut S,
     from: Offset,
 ) -> Result<Option<Offset>, String> {
     let wait = if S::pause(site).is_none() { LONG_POLL } else { Duration::ZERO };
     let Offset { era, at } = from;
-    let reply = call(site, caller, &store::read(S::TOPIC, at, wait), wait + ANSWER).await?;
+    let reply = call(site, client, &store::read(S::TOPIC, at, wait), wait + ANSWER).await?;
     match reply.status {
         // The store was restored and has assigned these offsets anew, so the
         // records read may not follow the earlier ones.
@@ -279,5 +279,5 @@
 /// have not been read by then.
 async fn end_recall_wait(site: Rc<Site>) {
     tokio::time::sleep(RECALL_TIMEOUT).await;
-    site.recalled.set(true);
+    site.startup_reads_done.set(true);
 }
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -75,7 +75,7 @@
 /// Processes an announced weights version. `fresh` is set if it was announced just
 /// now, not before this process started.
 pub fn apply_announced_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
-    let mut all = site.named.borrow_mut();
+    let mut all = site.announced_weights.borrow_mut();
     let named = all.entry(model.to_string()).or_default();
     let is_new = match fresh {
         true => named.record_announced(version, site.now()),
@@ -83,6 +83,6 @@
     };
     if is_new {
         tracing::info!(target: "weights", model, version, source, "new weights version announced");
-        site.duty.notify_one();
+        site.rollout_check.notify_one();
     }
 }
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -79,7 +79,7 @@
                 "upstream missing in the store; kept for now");
         }
     }
-    site.duty.notify_one();
+    site.rollout_check.notify_one();
 }
 
 /// Processes the upstreams' entries.
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -205,7 +205,7 @@
     /// The `count` hosts with the most capacity for `group`, of those that send
     /// heartbeats and take callers. This host is `None` in the result; it takes
     /// part with the capacity `own`, if given.
-    pub fn roomiest(
+    pub fn hosts_by_capacity(
         &self,
         group: u64,
         count: usize,
@@ -224,7 +224,7 @@
 
     /// The hosts as the quota accounts need them: how many send heartbeats, and
     /// which have been silent for less than `span`.
-    pub fn reach(&self, span: Duration) -> Hosts {
+    pub fn quota_hosts(&self, span: Duration) -> Hosts {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
         let heard = known.values().filter(|p| p.is_alive(now, peer_timeout)).count() + 1;
--- a/crates/router/src/proxy/hosts/delivery.rs
+++ b/crates/router/src/proxy/hosts/delivery.rs
@@ -81,11 +81,11 @@
     /// anew for each chunk.
     pub fn send_to_all(&self, times: u32, message: impl Fn() -> Message + 'static) {
         let all = self.known.borrow().values().map(|p| p.record.peers).collect();
-        self.tell(all, times, message);
+        self.send_chunked(all, times, message);
     }
 
     /// Does the same as `send_to_all` for the hosts at `addrs`.
-    pub fn tell(
+    pub fn send_chunked(
         &self,
         addrs: Vec<SocketAddr>,
         times: u32,
--- a/crates/router/src/proxy/duty.rs
+++ b/crates/router/src/proxy/leadership.rs
@@ -29,7 +29,7 @@
 use super::fleet::Upstream;
 use super::notices;
 use super::site::Site;
-use super::storeclient::Caller;
+use super::storeclient::HttpClient;
 use crate::clock;
 use membership::JOIN_TIMEOUT;
 
@@ -132,7 +132,7 @@
     }
     let settings = leadership.site.settings.load_full();
     let leave = store::leave(GROUP, &settings.name);
-    let left = Caller::new(settings.store.addr).call(&leave, &[], JOIN_TIMEOUT).await;
+    let left = HttpClient::new(settings.store.addr).call(&leave, &[], JOIN_TIMEOUT).await;
     tracing::info!(target: "duty", outcome = ?left.map(|r| r.status), "left the candidate group");
 }
 
@@ -231,7 +231,7 @@
 /// change.
 async fn run_rollouts(leadership: Rc<Leadership>) {
     loop {
-        let _ = tokio::time::timeout(MAX_INTERVAL, leadership.site.duty.notified()).await;
+        let _ = tokio::time::timeout(MAX_INTERVAL, leadership.site.rollout_check.notified()).await;
         if leadership.token().is_some() {
             order_due_changes(&leadership);
         }
@@ -258,7 +258,7 @@
             known.unreachable_since?
         };
         known.unreachable_since = known.unreachable_since.map(|_| since);
-        let used = upstream.others.get().running > 0;
+        let used = upstream.remote_load.get().running > 0;
         known
             .unreachable_since
             .map(|since| UnreachableEngine { tried: now.saturating_sub(since), used })
@@ -354,7 +354,7 @@
 
 /// The newest announced weights version of each model.
 fn newest_weights(site: &Site) -> Vec<Weights> {
-    let named = site.named.borrow();
+    let named = site.announced_weights.borrow();
     let newest = |(model, named): (&String, &AnnouncedVersions)| {
         Some(Weights { model: model.clone(), version: named.newest()? })
     };
--- a/crates/router/src/proxy/duty/change.rs
+++ b/crates/router/src/proxy/leadership/change.rs
@@ -14,7 +14,7 @@
 use crate::proxy::fleet::Upstream;
 use crate::proxy::notices;
 use crate::proxy::reports::{self, ANSWER};
-use crate::proxy::storeclient::Caller;
+use crate::proxy::storeclient::HttpClient;
 
 /// Time between the announcement that an engine closes and the order to it.
 /// Requests already on their way to the engine have begun within this time; the
@@ -61,7 +61,7 @@
         match &end {
             End::Changed => {
                 state.failures = 0;
-                upstream.serves(&weights.model, weights.version);
+                upstream.record_weights(&weights.model, weights.version);
                 tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version,
                     ms, "engine changed its weights");
             }
@@ -83,13 +83,13 @@
         let served = upstream.weights(&weights.model).unwrap_or_default();
         notices::open(&leadership.site, &upstream, &Weights { version: served, ..weights });
     }
-    leadership.site.duty.notify_one();
+    leadership.site.rollout_check.notify_one();
 }
 
 /// Whether an engine reports that it is carrying out an order.
 pub(super) async fn is_changing(leadership: Rc<Leadership>, upstream: Rc<Upstream>) -> bool {
     let addr = upstream.entry.borrow().addr;
-    fetch_report(&leadership, &mut Caller::new(addr), &upstream)
+    fetch_report(&leadership, &mut HttpClient::new(addr), &upstream)
         .await
         .is_ok_and(|report| report.busy)
 }
@@ -103,15 +103,15 @@
     closed: &mut bool,
 ) -> End {
     let addr: SocketAddr = upstream.entry.borrow().addr;
-    let mut caller = Caller::new(addr);
+    let mut client = HttpClient::new(addr);
     let count = leadership.engine_states.borrow().get(&upstream.life).and_then(|k| k.orders);
     let orders = match count {
         Some(orders) => orders,
-        None => match fetch_report(leadership, &mut caller, upstream).await {
+        None => match fetch_report(leadership, &mut client, upstream).await {
             Ok(report) if has_weights(&report, weights) => return End::Changed,
             Ok(report) if report.busy => {
                 *closed = true;
-                return wait_until_changed(leadership, upstream, weights, &mut caller, false).await;
+                return wait_until_changed(leadership, upstream, weights, &mut client, false).await;
             }
             Ok(report) => report.orders,
             Err(why) => return End::Failed(why),
@@ -133,9 +133,9 @@
         orders,
     };
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    let reply = caller.call(&Call::from(&order), &headers, ANSWER).await;
+    let reply = client.call(&Call::from(&order), &headers, ANSWER).await;
     drop(permit);
-    leadership.site.traffic.call(caller.take_bytes(), reply.is_ok());
+    leadership.site.traffic.call(client.take_bytes(), reply.is_ok());
     tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version, token = token.number(), orders,
         outcome = ?reply.as_ref().map(|r| r.status).map_err(|e| e.to_string()), "order sent");
     match reply.as_ref().map(|r| Ordered::from(r.status)) {
@@ -171,23 +171,23 @@
                 .entry(upstream.life.clone())
                 .or_default()
                 .orders = None;
-            caller = Caller::new(addr);
+            client = HttpClient::new(addr);
         }
     }
     let accepted = matches!(reply.map(|r| Ordered::from(r.status)), Ok(Ordered::Accepted));
-    wait_until_changed(leadership, upstream, weights, &mut caller, accepted).await
+    wait_until_changed(leadership, upstream, weights, &mut client, accepted).await
 }
 
 /// Fetches an engine's report and counts the call.
 async fn fetch_report(
     leadership: &Leadership,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     upstream: &Upstream,
 ) -> Result<Report, String> {
     let permit = leadership.call_slot().await;
-    let report = reports::ask(caller, upstream).await;
+    let report = reports::ask(client, upstream).await;
     drop(permit);
-    leadership.site.traffic.call(caller.take_bytes(), report.is_ok());
+    leadership.site.traffic.call(client.take_bytes(), report.is_ok());
     if let Some(known) = leadership.engine_states.borrow_mut().get_mut(&upstream.life) {
         known.unreachable_since = match report {
             Ok(_) => None,
@@ -202,7 +202,7 @@
     leadership: &Leadership,
     upstream: &Rc<Upstream>,
     weights: &Weights,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     accepted: bool,
 ) -> End {
     let begun = leadership.site.now();
@@ -223,7 +223,7 @@
         if upstream.weights(&weights.model) >= Some(weights.version) {
             return End::Changed;
         }
-        match fetch_report(leadership, caller, upstream).await {
+        match fetch_report(leadership, client, upstream).await {
             Ok(report) if has_weights(&report, weights) => return End::Changed,
             Ok(report) if report.busy => idle = 0,
             Ok(_) if !accepted && idle >= 1 => return End::Failed("order not accepted".into()),
--- a/crates/router/src/proxy/duty/membership.rs
+++ b/crates/router/src/proxy/leadership/membership.rs
@@ -14,7 +14,7 @@
 use super::{GROUP, Leadership, TOPIC, is_rollout_pending, lease, leave};
 use crate::clock;
 use crate::proxy::site::Site;
-use crate::proxy::storeclient::Caller;
+use crate::proxy::storeclient::HttpClient;
 use crate::proxy::storelink::SLOW;
 use crate::proxy::traffic::Totals;
 
@@ -114,7 +114,7 @@
     // This clock counts time during which the process is suspended.
     let mut renewed = clock::now();
     let mut token = Token::default();
-    let mut caller = Caller::new(site.settings.load().store.addr);
+    let mut client = HttpClient::new(site.settings.load().store.addr);
     let mut was_down = false;
     let mut before = site.traffic.totals();
     while !leadership.released.get() {
@@ -129,7 +129,7 @@
         if lapse >= lease(site) && confirmed.is_some() && is_own_fault(site, lapse) {
             return End::Lapsed;
         }
-        let reply = join(site, &mut caller, token).await;
+        let reply = join(site, &mut client, token).await;
         if leadership.released.get() {
             break;
         }
@@ -158,7 +158,7 @@
                     log_unconfirmed(leadership, &why, confirmed, before);
                 }
                 site.note_store_error();
-                caller = Caller::new(site.settings.load().store.addr);
+                client = HttpClient::new(site.settings.load().store.addr);
                 tokio::time::sleep(JOIN_RETRY_DELAY).await;
                 continue;
             }
@@ -183,13 +183,13 @@
 /// assignment that this member received.
 async fn join(
     site: &Site,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     last: Token,
 ) -> Result<(Token, Membership), String> {
     let settings = site.settings.load_full();
     let generation = last.generation_in(site.era.get().unwrap_or_default());
     let join = store::join(GROUP, &settings.name, TOPIC, lease(site), generation);
-    match caller.call(&join, &[], JOIN_TIMEOUT).await {
+    match client.call(&join, &[], JOIN_TIMEOUT).await {
         Ok(reply) if reply.status == 200 => {
             site.note_era(reply.era);
             let membership = store::parse_join(&reply.body).map_err(|e| e.to_string())?;
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -138,7 +138,7 @@
     let reported: HashMap<u64, &Vec<Weights>> = reported.iter().map(|(key, w)| (*key, w)).collect();
     for upstream in site.fleet.all() {
         for weights in reported.get(&upstream.key).into_iter().copied().flatten() {
-            upstream.serves(&weights.model, weights.version);
+            upstream.record_weights(&weights.model, weights.version);
         }
     }
 }
@@ -150,7 +150,7 @@
         Change::Closed { span, .. } => upstream.closed.set(Some(site.now() + *span)),
         Change::Open { model, version } => {
             upstream.closed.set(None);
-            upstream.serves(model, *version);
+            upstream.record_weights(model, *version);
         }
     }
 }
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -7,7 +7,7 @@
 //! needs order or delivery.) None of this state is agreed on between hosts: a
 //! wrong view costs a caller one detour, or a request a less suitable engine.
 
-mod greeting;
+mod heartbeat;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
 use super::fleet::Upstream;
 use super::hosts::{Message, PERIOD};
 use super::site::Site;
-use super::{cachefeed, notices, poison, quota, warm};
-use greeting::apply_announcement_ages;
-pub use greeting::send_heartbeats;
+use super::{cachefeed, notices, poison, quota, state_transfer};
+use heartbeat::apply_announcement_ages;
+pub use heartbeat::send_heartbeats;
 
 /// Number of times each peer is sent an event, since a datagram may be lost.
 const EVENT_SENDS: u32 = 2;
@@ -57,7 +57,7 @@
         false => HashMap::new(),
     };
     for upstream in site.fleet.all() {
-        upstream.others.set(sums.get(&upstream.key).copied().unwrap_or_default());
+        upstream.remote_load.set(sums.get(&upstream.key).copied().unwrap_or_default());
     }
 }
 
@@ -94,7 +94,7 @@
                 .for_each(|u| u.note_unreachable_report(site.now()));
             apply_announcement_ages(site, &heartbeat.announcement_ages);
             cachefeed::hear(site, &heartbeat.news);
-            warm::compare(site, from, &heartbeat.versions);
+            state_transfer::compare(site, from, &heartbeat.versions);
             poison::hear_quarantined(site, std::mem::take(&mut heartbeat.quarantine));
             site.peers.receive_heartbeat(*heartbeat, site.now());
         }
--- a/crates/router/src/proxy/peers/greeting.rs
+++ b/crates/router/src/proxy/peers/heartbeat.rs
@@ -7,7 +7,7 @@
 use crate::proxy::fleet::Upstream;
 use crate::proxy::hosts::Heartbeat;
 use crate::proxy::site::Site;
-use crate::proxy::warm;
+use crate::proxy::state_transfer;
 
 /// How long hosts include the time of an announcement of weights in heartbeats.
 /// An engine that was unreachable may still be on weights that were replaced long
@@ -19,7 +19,7 @@
 
 /// Sends a heartbeat to the next few hosts.
 pub fn send_heartbeats(site: &Site) {
-    let own = |u: &Rc<Upstream>| (u.key, u.own.get());
+    let own = |u: &Rc<Upstream>| (u.key, u.local_load.get());
     let (now, all) = (site.now(), site.fleet.all());
     let span = site.peers.heartbeat_round() * EVENT_SENDS;
     let loads = all.iter().map(own).filter(|(_, l)| l.running > 0).collect();
@@ -33,7 +33,7 @@
         candidate_status: site.candidate_status.get(),
         room: site.room(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
-        versions: warm::versions(site),
+        versions: state_transfer::versions(site),
         quarantine: site.poison.newest_entries(span, now),
         unreachable: unreachable_keys(&all, now),
     };
@@ -55,7 +55,7 @@
 
 /// Weights versions announced so recently that their age matters.
 fn recent_announcement_ages(site: &Site) -> Vec<(String, u64, u64)> {
-    let (now, named) = (site.now(), site.named.borrow());
+    let (now, named) = (site.now(), site.announced_weights.borrow());
     let ages = named.iter().flat_map(|(model, n)| {
         let ages = n.ages(now, MAX_WEIGHTS_AGE).into_iter();
         ages.map(|(version, age)| (model.clone(), version, age.as_millis() as u64))
@@ -65,7 +65,7 @@
 
 /// Records when another host learnt of weights versions.
 pub(super) fn apply_announcement_ages(site: &Site, named: &[(String, u64, u64)]) {
-    let mut all = site.named.borrow_mut();
+    let mut all = site.announced_weights.borrow_mut();
     for (model, version, age) in named {
         if let Some(known) = all.get_mut(model) {
             known.record_reported(*version, Duration::from_millis(*age), site.now());
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -115,7 +115,7 @@
     let detectors = site.peers.first_ranked(xxh3_64(DETECTION.as_bytes()), detectors(&site));
     for chunk in reports.chunks(MAX_REPORTS) {
         let chunk = chunk.to_vec();
-        site.peers.tell(detectors.clone(), SENDS, move || Message::Crashes(chunk.clone()));
+        site.peers.send_chunked(detectors.clone(), SENDS, move || Message::Crashes(chunk.clone()));
     }
     hear_reports(&site, &reports);
 }
@@ -187,7 +187,7 @@
         }
     }
     if poison.suspects.borrow().is_pending() {
-        poison.called.set(poison.called.get() + 1);
+        poison.recheck_count.set(poison.recheck_count.get() + 1);
         if !poison.detecting.replace(true) {
             ntex::rt::spawn(detection::run(site.clone()));
         }
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -33,11 +33,11 @@
 /// requests that were in flight at enough crashes have been decided on.
 pub(super) async fn run(site: Rc<Site>) {
     loop {
-        let called = site.poison.called.get();
+        let called = site.poison.recheck_count.get();
         tokio::time::sleep(DETECTION_DELAY).await;
         detect(&site);
         let undecided = site.poison.suspects.borrow().has_unevaluated();
-        if site.poison.called.get() == called && !undecided {
+        if site.poison.recheck_count.get() == called && !undecided {
             site.poison.detecting.set(false);
             return;
         }
@@ -107,7 +107,7 @@
             left_s = entry.until().saturating_sub(wall).as_secs(), source,
             "request quarantined: upstreams crashed while it was in flight");
         if [OWN, PEER].contains(&source) {
-            poison.told.borrow_mut().push((entry.clone(), now));
+            poison.recent_entries.borrow_mut().push((entry.clone(), now));
         }
         if let Some(evicted) = evicted {
             tracing::warn!(target: "poison", fingerprint = %evicted, "quarantine full, entry evicted");
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -64,7 +64,7 @@
     let mut writes = site.poison.writes.borrow_mut();
     if writes.len() < MAX_QUEUED || writes.contains_key(&request) {
         writes.insert(request, entry);
-        site.poison.written.notify_one();
+        site.poison.write_requested.notify_one();
     }
 }
 
@@ -85,7 +85,9 @@
                 }
             }
             None => {
-                let _ = tokio::time::timeout(SWEEP_INTERVAL, site.poison.written.notified()).await;
+                let _ =
+                    tokio::time::timeout(SWEEP_INTERVAL, site.poison.write_requested.notified())
+                        .await;
                 let expired = site.poison.quarantine.borrow_mut().expire(clock::wall());
                 for request in expired {
                     tracing::info!(target: "poison", fingerprint = %request, "quarantine expired");
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -69,7 +69,7 @@
     asked: &RequestMetadata,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(quota) = workspace.quota else { return Ok(None) };
-    if !site.recalled.get() {
+    if !site.startup_reads_done.get() {
         return Err(Refusal::not_run("other hosts not known yet", Duration::ZERO));
     }
     let charge = Charge { workspace: key(workspace), cost: quota.cost(asked.tokens) };
@@ -128,7 +128,7 @@
 /// Updates the accounts that this host keeps as a coordinator to the present.
 fn advance(site: &Site, quotas: &HashMap<u64, (&Workspace, Quota)>) {
     let now = site.now();
-    let hosts = site.peers.reach(RESERVATION_TIME);
+    let hosts = site.peers.quota_hosts(RESERVATION_TIME);
     let mut ledger = site.quotas.ledger.borrow_mut();
     ledger.retain(|workspace| quotas.contains_key(&workspace));
     for workspace in ledger.workspaces() {
@@ -167,7 +167,7 @@
     }
     let own = site.is_ready().then(|| site.settings.load().capacity.room());
     for (group, usages) in groups {
-        for coordinator in site.peers.roomiest(group, COORDINATORS, own) {
+        for coordinator in site.peers.hosts_by_capacity(group, COORDINATORS, own) {
             for chunk in usages.chunks(MAX_BATCH) {
                 match coordinator {
                     Some(addr) => {
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -23,7 +23,7 @@
 
 use super::fleet::Upstream;
 use super::site::Site;
-use super::storeclient::Caller;
+use super::storeclient::HttpClient;
 
 /// Time-out of an engine's answer, which usually takes a few milliseconds.
 pub const ANSWER: Duration = Duration::from_millis(300);
@@ -58,9 +58,9 @@
 }
 
 /// Queries the state of `upstream`. An answer of another incarnation is an error.
-pub async fn ask(caller: &mut Caller, upstream: &Upstream) -> Result<Report, String> {
+pub async fn ask(client: &mut HttpClient, upstream: &Upstream) -> Result<Report, String> {
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    match caller.call(&engine::report(), &headers, ANSWER).await {
+    match client.call(&engine::report(), &headers, ANSWER).await {
         Ok(reply) if reply.status == 200 => {
             let report = engine::parse_report(&reply.body).map_err(|e| e.to_string())?;
             match report.born.may_equal(upstream.life.born) {
@@ -76,7 +76,7 @@
 /// Queries `upstream` once, on a new connection.
 pub async fn query_once(upstream: &Upstream) -> Result<Report, String> {
     let addr = upstream.entry.borrow().addr;
-    ask(&mut Caller::new(addr), upstream).await
+    ask(&mut HttpClient::new(addr), upstream).await
 }
 
 /// Handles the refusal by `upstream` of a request sent for the version `asked` of
@@ -111,11 +111,11 @@
         true => served(upstream, model).await,
         false => None,
     };
-    let newest = site.named.borrow().get(model).and_then(|n| n.newest());
+    let newest = site.announced_weights.borrow().get(model).and_then(|n| n.newest());
     let version = rollout::after_refusal(asked, reported, newest);
     tracing::info!(target: "weights", upstream = %upstream.life, asked, reported, version,
         "upstream refused request for its weights version");
-    upstream.states(model, version);
+    upstream.record_report(model, version);
     // The request that waits for this may have ended.
     let _ = done.send(());
     if !site.has(Mechanism::Reports) {
@@ -123,8 +123,8 @@
     }
     tokio::time::sleep(LAG).await;
     if let Some(version) = served(upstream, model).await {
-        upstream.states(model, version);
-        site.duty.notify_one();
+        upstream.record_report(model, version);
+        site.rollout_check.notify_one();
     }
 }
 
@@ -132,7 +132,7 @@
 /// version of `model` has been announced than it serves, it is most likely changing
 /// its weights: this host sends it no requests until it reports no change.
 pub fn handle_unexplained_refusal(site: &Rc<Site>, upstream: &Rc<Upstream>, model: &str) {
-    let newest = site.named.borrow().get(model).and_then(|n| n.newest());
+    let newest = site.announced_weights.borrow().get(model).and_then(|n| n.newest());
     if !site.has(Mechanism::Reports) || upstream.weights(model) >= newest {
         return;
     }
@@ -160,7 +160,7 @@
                 pause = (pause * 2).min(MAX_INTERVAL);
             }
             Ok(report) => {
-                report.weights.iter().for_each(|w| upstream.serves(&w.model, w.version));
+                report.weights.iter().for_each(|w| upstream.record_weights(&w.model, w.version));
                 break "reports no change";
             }
             Err(_) => break "no report",
@@ -179,7 +179,7 @@
 pub async fn answers(upstream: &Upstream) -> bool {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    Caller::new(addr).call(&engine::report(), &headers, ANSWER).await.is_ok()
+    HttpClient::new(addr).call(&engine::report(), &headers, ANSWER).await.is_ok()
 }
 
 /// Whether another incarnation answers the call `probe` at the address of
@@ -187,7 +187,7 @@
 pub async fn is_replaced(upstream: &Upstream, probe: &Call) -> Option<bool> {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    match Caller::new(addr).call(probe, &headers, ANSWER).await {
+    match HttpClient::new(addr).call(probe, &headers, ANSWER).await {
         Ok(reply) if reply.status == MISDIRECTED => Some(true),
         Ok(reply) if reply.status == 200 => Some(
             engine::parse_report(&reply.body)
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -187,8 +187,8 @@
 
     /// Records that the answer was complete, so that the request is no longer
     /// suspected of earlier crashes.
-    pub fn ended_well(&self) {
-        self.site.poison.ended_well(self.fingerprint, self.site.now());
+    pub fn record_completion(&self) {
+        self.site.poison.record_completion(self.fingerprint, self.site.now());
     }
 
     /// How long the last send waited for the head of its answer.
@@ -199,7 +199,7 @@
     /// Records that an answer which had begun was cut off.
     pub fn broke(&mut self, opened: &Opened, failure: &Failure) {
         let upstream = &opened.upstream;
-        upstream.failed(failure, self.site.now());
+        upstream.record_failure(failure, self.site.now());
         self.site.counters.count("upstream.broken");
         tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, %failure,
             fingerprint = %self.fingerprint, sends = self.sends, "answer cut off by upstream");
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -187,7 +187,7 @@
     /// Those of `all` assigned to this request as one that was in flight at a
     /// crash. Other requests of that crash are mostly assigned other upstreams.
     fn separate_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
-        let places: Vec<u64> = all.iter().map(|u| u.place).collect();
+        let places: Vec<u64> = all.iter().map(|u| u.address_hash).collect();
         poison::retry_upstreams(self.fingerprint, &places)
             .into_iter()
             .map(|i| all[i].clone())
@@ -217,7 +217,9 @@
         };
         let healthy = |u: &&Rc<Upstream>| {
             let health = u.health.borrow();
-            !health.is_paused(now) && health.stalled_for(now) < STALL_TIMEOUT && !u.is_doubted(now)
+            !health.is_paused(now)
+                && health.stalled_for(now) < STALL_TIMEOUT
+                && !u.is_reported_unreachable(now)
         };
         let mut usable = self.site.fleet.service(&self.service);
         usable.retain(available);
@@ -351,7 +353,7 @@
     fn replaced_weights_limit(&self, model: &str) -> ReplacedWeightsLimit {
         let now = self.site.now();
         ReplacedWeightsLimit {
-            announced: self.site.named.borrow().get(model).cloned().unwrap_or_default(),
+            announced: self.site.announced_weights.borrow().get(model).cloned().unwrap_or_default(),
             cutoff: self.site.settings.load().bounds.weights.saturating_sub(WEIGHTS_MARGIN),
             availability: self.site.store_availability.borrow().clone(),
             now,
@@ -380,7 +382,7 @@
         let request = xxh3_64(self.id().as_bytes());
         let prefix_path =
             if has(Mechanism::PreferredEngines) { prompt.prefix_hash() } else { request };
-        let places: Vec<u64> = engines.iter().map(|u| u.place).collect();
+        let places: Vec<u64> = engines.iter().map(|u| u.address_hash).collect();
         let small_share = if has(Mechanism::SizePartitions) { SMALL_PROMPT_SHARE } else { 0.0 };
         let partition =
             place::pool_partition(&places, small_share, prompt.input >= place::LARGE_PROMPT);
@@ -391,7 +393,7 @@
             let weights = u.weights(&prompt.model).unwrap_or_default();
             let source = best_source(sources, weights, &u.life, &entry.dc);
             Candidate {
-                rank: place::rank(prefix_path, u.place),
+                rank: place::rank(prefix_path, u.address_hash),
                 unread: load.unread,
                 running: load.running,
                 slots: entry.slots,
@@ -446,7 +448,7 @@
             let known = self.site.stores.at(store.addr);
             let token_ms = SHARED_LINK_FACTOR * copy_ms(spec.token_bytes, store.link_mbps);
             for &weights in &versions {
-                let cached = known.kept.borrow().cached_tokens(self.cache(weights), shared);
+                let cached = known.cache_index.borrow().cached_tokens(self.cache(weights), shared);
                 if cached > 0 {
                     let (addr, dc) = (store.addr, store.dc.clone());
                     sources.push(CopySource { engine: None, addr, dc, weights, cached, token_ms });
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -125,14 +125,14 @@
                 self.failed_connects += 1;
                 self.tried.pop();
                 self.unreachable.push(upstream.life.clone());
-                upstream.doubt(now);
+                upstream.mark_unreachable(now);
                 site.counters.count("upstream.unreachable");
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life, %why,
                     "upstream unreachable");
                 Sent::NoAnswer
             }
             Err(failure) => {
-                upstream.failed(&failure, now);
+                upstream.record_failure(&failure, now);
                 site.counters.count("upstream.broken");
                 tracing::warn!(target: "attempt", id = self.id(), upstream = %upstream.life,
                     %failure, fingerprint = %self.fingerprint, sends = self.sends,
@@ -152,7 +152,7 @@
                     ms = self.waited.as_millis() as u64,
                     expected_ms = chosen.expected_wait.as_millis() as u64, "answer started");
                 if let (Some(version), Some(prompt)) = (opened.mark.weights, prompt) {
-                    upstream.serves(&prompt.model, version);
+                    upstream.record_weights(&prompt.model, version);
                 }
                 let shared = prompt.map(|p| p.shared_parts()).unwrap_or_default();
                 record_prefill(&mut flight, chosen, shared, ahead, begun, now);
@@ -202,7 +202,7 @@
                 let prompt = self.request.asked.prompt.as_ref();
                 let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::NoAnswer };
                 match reported {
-                    Some(version) => upstream.states(&prompt.model, version),
+                    Some(version) => upstream.record_report(&prompt.model, version),
                     None => {
                         reports::handle_weights_refusal(&self.site, &upstream, &prompt.model, asked)
                             .await
--- a/crates/router/src/proxy/relay.rs
+++ b/crates/router/src/proxy/response.rs
@@ -127,7 +127,7 @@
                     health.record_response(true);
                     health.record_latency(site.now().saturating_sub(begun) + exchange.last_wait());
                 }
-                exchange.ended_well();
+                exchange.record_completion();
                 opened.finish(site.now());
                 drop(flight);
                 return match caller.write(&bytes).await {
@@ -201,7 +201,7 @@
                 Step::Expired => return Outcome::Refused(self.exchange.expired()),
                 Step::Ended if self.splitter.is_empty() => {
                     opened.upstream.health.borrow_mut().record_response(true);
-                    self.exchange.ended_well();
+                    self.exchange.record_completion();
                     opened.finish(self.site.now());
                     drop(flight);
                     return self.end(caller).await;
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -10,11 +10,13 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 
-use super::duty::{self, Leadership};
+use super::leadership::{self, Leadership};
 use super::logs::Logs;
 use super::options::ProxyOptions;
 use super::site::Site;
-use super::{cachefeed, callers, entry, follow, logs, notices, peers, poison, quota, warm};
+use super::{
+    cachefeed, callers, entry, follow, logs, notices, peers, poison, quota, state_transfer,
+};
 use crate::error::Error;
 
 /// New connections that may wait to be accepted.
@@ -70,8 +72,8 @@
     ntex::rt::spawn(poison::keep(site.clone()));
     ntex::rt::spawn(quota::run(site.clone()));
     let warm_listener = listen(site.peers.record.peers)?;
-    ntex::rt::spawn(warm::serve(site.clone(), warm_listener));
-    let leadership = duty::start(&site);
+    ntex::rt::spawn(state_transfer::serve(site.clone(), warm_listener));
+    let leadership = leadership::start(&site);
     ntex::rt::spawn(watch_settings(site.clone(), path));
     wait_for_stop().await?;
     stop(&site, &leadership, &logs).await;
@@ -111,7 +113,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         let now = site.now();
         if !leadership.is_busy() || now + STOP_LEADERSHIP_MARGIN >= end {
-            duty::release(leadership).await;
+            leadership::release(leadership).await;
         }
         let requests = site.counters.requests();
         if site.handled.get() > 0 || requests != answered {
@@ -153,7 +155,7 @@
             Ok(new) => {
                 tracing::info!(target: "run", asked, store = %new.store.addr, "settings changed");
                 site.settings.store(Arc::new(new));
-                site.regained.notify_waiters();
+                site.store_recovered.notify_waiters();
             }
             Err(error) => {
                 tracing::error!(target: "run", asked, %error,
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -57,7 +57,7 @@
     /// The other hosts.
     pub peers: Peers,
     /// Announced weights versions, by model.
-    pub named: RefCell<HashMap<String, AnnouncedVersions>>,
+    pub announced_weights: RefCell<HashMap<String, AnnouncedVersions>>,
     /// The stores that hold prompt caches.
     pub stores: Stores,
     /// Cache updates to be sent to other hosts.
@@ -79,7 +79,7 @@
     pub listed: Cell<bool>,
     /// The hosts' records and the quarantine have been read once, from the store
     /// or from another host, or the wait for them has timed out.
-    pub recalled: Cell<bool>,
+    pub startup_reads_done: Cell<bool>,
     /// The newest era of the store that has been reported to this host.
     pub era: Cell<Option<Era>>,
     /// When this host's last store error was.
@@ -96,9 +96,9 @@
     pub stop: Notify,
     /// Notified when the store answers again, was restored from a copy, or has
     /// another address.
-    pub regained: Notify,
+    pub store_recovered: Notify,
     /// Notified when a weights version is announced or upstreams change.
-    pub duty: Notify,
+    pub rollout_check: Notify,
     /// Number of requests in progress.
     pub handled: Cell<u32>,
     budgets: RefCell<HashMap<String, Budget>>,
@@ -119,7 +119,7 @@
             registry: RefCell::default(),
             fleet: Fleet::default(),
             peers,
-            named: RefCell::default(),
+            announced_weights: RefCell::default(),
             stores: Stores::default(),
             news: RefCell::default(),
             relays: Relays::default(),
@@ -130,7 +130,7 @@
             traffic,
             stopping: Cell::default(),
             listed: Cell::default(),
-            recalled: Cell::default(),
+            startup_reads_done: Cell::default(),
             era: Cell::default(),
             store_error: Cell::default(),
             store_availability: RefCell::default(),
@@ -138,8 +138,8 @@
             candidate_status: Cell::default(),
             no_leadership_until: Cell::default(),
             stop: Notify::new(),
-            regained: Notify::new(),
-            duty: Notify::new(),
+            store_recovered: Notify::new(),
+            rollout_check: Notify::new(),
             handled: Cell::default(),
             budgets: RefCell::default(),
             start: Instant::now(),
@@ -170,7 +170,8 @@
 
     /// Whether this host takes callers.
     pub fn is_ready(&self) -> bool {
-        let knows = self.catalog.load().is_some() && self.listed.get() && self.recalled.get();
+        let knows =
+            self.catalog.load().is_some() && self.listed.get() && self.startup_reads_done.get();
         self.stopping.get().is_none() && knows
     }
 
@@ -183,7 +184,7 @@
             if let Some(before) = known {
                 tracing::warn!(target: "store", %era, %before,
                     "store was restored from a copy; listing all records again");
-                self.regained.notify_waiters();
+                self.store_recovered.notify_waiters();
             }
         }
         known <= Some(era)
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -35,21 +35,21 @@
     /// Requests that completed recently.
     pub well: RefCell<RecentCompletions>,
     /// Quarantine entries learnt recently, for heartbeats.
-    pub told: RefCell<Vec<(Quarantined, Duration)>>,
+    pub recent_entries: RefCell<Vec<(Quarantined, Duration)>>,
     /// Incremented when received reports may complete a suspect's crashes, so
     /// that the detection task checks again.
-    pub called: Cell<u64>,
+    pub recheck_count: Cell<u64>,
     /// Whether that task is running.
     pub detecting: Cell<bool>,
     /// Records to be written to the store; `None` deletes the record.
     pub writes: RefCell<HashMap<Fingerprint, Option<Quarantined>>>,
     /// Notified when there are records to be written.
-    pub written: Notify,
+    pub write_requested: Notify,
 }
 
 impl Poison {
     /// Records that `request` completed at `now`.
-    pub fn ended_well(&self, request: Fingerprint, now: Duration) {
+    pub fn record_completion(&self, request: Fingerprint, now: Duration) {
         self.well.borrow_mut().record(request, now);
         self.suspects.borrow_mut().clear(request);
     }
@@ -87,7 +87,7 @@
 
     /// The newest entries learnt within `span` before `now`, for heartbeats.
     pub fn newest_entries(&self, span: Duration, now: Duration) -> Vec<Quarantined> {
-        let mut told = self.told.borrow_mut();
+        let mut told = self.recent_entries.borrow_mut();
         told.retain(|(_, at)| now < *at + span);
         told.iter().rev().take(MAX_GREETED).map(|(entry, _)| entry.clone()).collect()
     }
--- a/crates/router/src/proxy/warm.rs
+++ b/crates/router/src/proxy/state_transfer.rs
@@ -45,7 +45,7 @@
 /// Answers other hosts' requests for what this host knows.
 pub async fn serve(site: Rc<Site>, listener: TcpListener) {
     link::serve(listener, move |_| {
-        let named = site.named.borrow();
+        let named = site.announced_weights.borrow();
         let newest = named.iter().filter_map(|(m, n)| Some((m.clone(), n.newest()?)));
         let knowledge = Knowledge {
             catalog: site.catalog().map(|c| (*c).clone()),
@@ -64,7 +64,7 @@
 pub fn versions(site: &Site) -> StateVersions {
     StateVersions {
         config: site.catalog.load().as_ref().map_or(0, |c| c.version),
-        weights: site.named.borrow().values().filter_map(|n| n.newest()).sum(),
+        weights: site.announced_weights.borrow().values().filter_map(|n| n.newest()).sum(),
         entries: site.poison.quarantine_version(),
     }
 }
@@ -120,7 +120,7 @@
         follow::apply_announced_weights(site, &model, version, false, &source);
     }
     poison::take_quarantined(site, knowledge.quarantine, &source);
-    site.recalled.set(true);
+    site.startup_reads_done.set(true);
     // Once this host has listed the upstreams in the store, its own records are
     // newer.
     if !site.listed.get() {
--- a/crates/router/src/proxy/storeclient.rs
+++ b/crates/router/src/proxy/storeclient.rs
@@ -39,13 +39,13 @@
 }
 
 /// A client of one peer, over one connection, with one call at a time.
-pub struct Caller {
+pub struct HttpClient {
     peer: SocketAddr,
     conn: Option<Conn>,
     bytes: u64,
 }
 
-impl Caller {
+impl HttpClient {
     /// A client of `peer`, not yet connected.
     pub fn new(peer: SocketAddr) -> Self {
         Self { peer, conn: None, bytes: 0 }
--- a/crates/router/src/proxy/storelink.rs
+++ b/crates/router/src/proxy/storelink.rs
@@ -7,7 +7,7 @@
 use marjoram_platform::store::{self, Call, Record};
 
 use super::site::Site;
-use super::storeclient::{CallError, Caller, Reply};
+use super::storeclient::{CallError, HttpClient, Reply};
 
 /// Time-out of an answer, in addition to the time that the call asks to wait.
 pub const ANSWER: Duration = Duration::from_millis(1_500);
@@ -63,11 +63,11 @@
 /// restored from a copy, is an error.
 pub async fn call(
     site: &Site,
-    caller: &mut Caller,
+    client: &mut HttpClient,
     call: &Call,
     limit: Duration,
 ) -> Result<Reply, String> {
-    let reply = caller.call(call, &[], limit).await.map_err(|e: CallError| e.to_string())?;
+    let reply = client.call(call, &[], limit).await.map_err(|e: CallError| e.to_string())?;
     match site.note_era(reply.era) {
         true => Ok(reply),
         false => {
@@ -81,8 +81,8 @@
     let write = store::write(store::HOSTS, record);
     let mut link = Link::new(store::HOSTS);
     loop {
-        let mut caller = Caller::new(site.settings.load().store.addr);
-        let why = match call(site, &mut caller, &write, ANSWER).await {
+        let mut client = HttpClient::new(site.settings.load().store.addr);
+        let why = match call(site, &mut client, &write, ANSWER).await {
             Ok(reply) if reply.status == 200 => {
                 link.up();
                 return;
--- a/crates/router/src/proxy/stores.rs
+++ b/crates/router/src/proxy/stores.rs
@@ -15,7 +15,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// Index of its contents, built from its events.
-    pub kept: RefCell<PartIndex>,
+    pub cache_index: RefCell<PartIndex>,
     /// A task is reading its events.
     pub followed: Cell<bool>,
 }
@@ -31,7 +31,7 @@
         let new = || Store {
             key: xxh3_64(addr.to_string().as_bytes()),
             addr,
-            kept: RefCell::default(),
+            cache_index: RefCell::default(),
             followed: Cell::default(),
         };
         all.entry(addr).or_insert_with(|| Rc::new(new())).clone()
