--- a/crates/router/src/proxy/answer.rs
+++ b/crates/router/src/proxy/answer.rs
@@ -51,7 +51,7 @@
 /// the future is dropped.
 pub async fn next_piece(conn: &mut Conn, body: &mut Body) -> Result<Option<Bytes>, ReadError> {
     loop {
-        match body.next(&mut conn.buf, conn.ended)? {
+        match body.next(&mut conn.buf, conn.read_closed)? {
             Piece::Data(data) => return Ok(Some(data)),
             Piece::End => return Ok(None),
             Piece::More => drop(conn.fill().await?),
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -26,7 +26,7 @@
 const BODY_LIMIT: usize = 16 << 20;
 
 /// A connection whose answer has begun.
-pub struct Opened {
+pub struct StartedAnswer {
     /// The upstream.
     pub upstream: Rc<Upstream>,
     /// The head of the answer.
@@ -71,7 +71,7 @@
     method: &str,
     attempt: Option<&str>,
     request: &Bytes,
-) -> Result<Opened, Failure> {
+) -> Result<StartedAnswer, Failure> {
     let conn = match upstream.pool.take(site.now()) {
         Some(conn) => conn,
         None => {
@@ -87,7 +87,7 @@
             .await
             .map_err(|e| Failure::from(("answer head", e)))?;
         let framing = http1::response_framing(method, &head)
-            .map_err(|e| Failure::Broken("answer head", e.to_string()))?;
+            .map_err(|e| Failure::InvalidAnswer("answer head", e.to_string()))?;
         let mark = headers::mark(head.status, |name| head.headers.get(name));
         let mut body = Body::from(framing);
         let stray = match (&mark.attempt, attempt) {
@@ -95,7 +95,7 @@
             _ => false,
         };
         if !stray {
-            return Ok(Opened { upstream: upstream.clone(), head, mark, pooled, body });
+            return Ok(StartedAnswer { upstream: upstream.clone(), head, mark, pooled, body });
         }
         site.counters.count("upstream.stray_answers");
         tracing::warn!(target: "attempt", upstream = %upstream.life, ours = attempt,
@@ -105,7 +105,7 @@
         }
         while let Some(_data) = next_piece(pooled.conn(), &mut body).await? {}
     }
-    Err(Failure::Broken("answer head", "answers another request".into()))
+    Err(Failure::InvalidAnswer("answer head", "answers another request".into()))
 }
 
 impl From<(&'static str, ReadError)> for Failure {
@@ -115,7 +115,7 @@
             ended @ (ReadError::Closed | ReadError::Bad(BadMessage::CutOff)) => {
                 Self::Closed(step, ended.to_string())
             }
-            other => Self::Broken(step, other.to_string()),
+            other => Self::InvalidAnswer(step, other.to_string()),
         }
     }
 }
@@ -133,7 +133,7 @@
     answer::next_piece(conn, body).await.map_err(|e| ("answer body", e).into())
 }
 
-impl Opened {
+impl StartedAnswer {
     /// The next bytes of the body; `None` at its end. Cancel safe: no bytes are
     /// lost if the future is dropped.
     pub async fn next_data(&mut self) -> Result<Option<Bytes>, Failure> {
@@ -146,7 +146,10 @@
         while let Some(data) = self.next_data().await? {
             collected.extend_from_slice(&data);
             if collected.len() > BODY_LIMIT {
-                return Err(Failure::Broken("answer body", "too long to be collected".into()));
+                return Err(Failure::InvalidAnswer(
+                    "answer body",
+                    "too long to be collected".into(),
+                ));
             }
         }
         Ok(collected)
@@ -159,7 +162,7 @@
         let idle_timeout = head.headers.get("keep-alive").and_then(keep_alive);
         let keep = self.pooled.sent && self.body.is_done() && !head.headers.closes(head.minor);
         let Some(conn) = self.pooled.conn.take() else { return };
-        if keep && conn.buf.is_empty() && !conn.ended {
+        if keep && conn.buf.is_empty() && !conn.read_closed {
             self.upstream.pool.put(conn, idle_timeout, now);
         }
     }
--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -100,7 +100,7 @@
 
 /// Applies cache updates that another host has forwarded, except for caches whose
 /// events this host reads itself.
-pub fn hear(site: &Site, news: &[CacheUpdate]) {
+pub fn apply_updates(site: &Site, news: &[CacheUpdate]) {
     let engines: HashMap<u64, Rc<Upstream>> = match news.is_empty() {
         true => return,
         false => site.fleet.all().into_iter().map(|u| (u.key, u)).collect(),
--- a/crates/router/src/proxy/callers.rs
+++ b/crates/router/src/proxy/callers.rs
@@ -242,7 +242,7 @@
     let mut body = Body::from(framing);
     let mut whole = BytesMut::new();
     loop {
-        match body.next(&mut conn.buf, conn.ended)? {
+        match body.next(&mut conn.buf, conn.read_closed)? {
             Piece::End => return Ok(Some(whole.freeze())),
             Piece::Data(data) => whole.extend_from_slice(&data),
             Piece::More => {
--- a/crates/router/src/proxy/conn.rs
+++ b/crates/router/src/proxy/conn.rs
@@ -28,14 +28,14 @@
     /// Bytes read and not yet used.
     pub buf: BytesMut,
     /// The peer has closed its side without a reset.
-    pub ended: bool,
+    pub read_closed: bool,
 }
 
 impl Conn {
     /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         set_options(&stream);
-        Self { stream, buf: BytesMut::new(), ended: false }
+        Self { stream, buf: BytesMut::new(), read_closed: false }
     }
 
     /// Connects to `addr` within `limit`; a time-out is `TimedOut`.
@@ -51,7 +51,7 @@
     pub async fn fill(&mut self) -> io::Result<usize> {
         self.buf.reserve(READ_SIZE);
         let read = self.stream.read_buf(&mut self.buf).await?;
-        self.ended |= read == 0;
+        self.read_closed |= read == 0;
         Ok(read)
     }
 
@@ -80,7 +80,7 @@
                     self.buf.reserve(READ_SIZE);
                     match self.stream.try_read_buf(&mut self.buf) {
                         Ok(0) => {
-                            self.ended = true;
+                            self.read_closed = true;
                             return Ok(false);
                         }
                         Ok(_) => return Ok(false),
@@ -97,7 +97,7 @@
     /// Waits until the peer has closed the connection. Bytes that it sends
     /// meanwhile are buffered, up to `limit`; then reading stops, and a close is no
     /// longer noticed.
-    pub async fn gone(&mut self, limit: usize) {
+    pub async fn wait_until_closed(&mut self, limit: usize) {
         loop {
             if self.buf.len() >= limit {
                 return std::future::pending().await;
@@ -110,10 +110,10 @@
     }
 
     /// Whether the idle connection is still open, with no unexpected bytes to read.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         let mut probe = [0u8; 1];
         self.buf.is_empty()
-            && !self.ended
+            && !self.read_closed
             && matches!(self.stream.try_read(&mut probe), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
--- a/crates/router/src/proxy/failure.rs
+++ b/crates/router/src/proxy/failure.rs
@@ -22,11 +22,11 @@
             display("{step}: {why}")
         }
         /// The bytes received are not a valid answer; the request may have run.
-        Broken(step: &'static str, why: String) {
+        InvalidAnswer(step: &'static str, why: String) {
             display("{step}: {why}")
         }
         /// Nothing was received for too long; the request may have run.
-        Silent(after: Duration) {
+        TimedOut(after: Duration) {
             display("nothing received for {} ms", after.as_millis())
         }
     }
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -111,7 +111,7 @@
     /// Records that a request to it got no answer.
     pub fn record_failure(&self, failure: &Failure, now: Duration) {
         self.health.borrow_mut().record_response(false);
-        if matches!(failure, Failure::Lost(..) | Failure::Silent(_)) {
+        if matches!(failure, Failure::Lost(..) | Failure::TimedOut(_)) {
             self.mark_unreachable(now);
         }
     }
@@ -207,7 +207,7 @@
 
     /// Records that a prompt with the prefix path `shared` was read into `cache`
     /// at `now`.
-    pub fn hold(&self, cache: CacheId, shared: &[Part], now: Duration) {
+    pub fn note_cached(&self, cache: CacheId, shared: &[Part], now: Duration) {
         let span = self.assumed_cached_ttl();
         let mut held = self.assumed_parts.borrow_mut();
         if held.len() >= MAX_ASSUMED_PARTS {
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -17,7 +17,7 @@
 
 use super::site::Site;
 use super::storeclient::HttpClient;
-use super::storelink::{ANSWER, Link, SLOW, call};
+use super::storelink::{ANSWER_TIMEOUT, CallState, SLOW_ANSWER, call};
 use hosts::Hosts;
 use operators::Operators;
 pub use operators::{apply_announced_weights, apply_configuration};
@@ -101,7 +101,7 @@
 /// Reads a topic for as long as the process runs.
 async fn follow<S: Sink>(site: Rc<Site>, mut sink: S) {
     let mut client = HttpClient::new(site.settings.load().store.addr);
-    let mut link = Link::new(S::TOPIC);
+    let mut call_state = CallState::new(S::TOPIC);
     let mut from: Option<Offset> = None;
     loop {
         let asked = site.now();
@@ -120,11 +120,11 @@
         };
         match result {
             Ok(next) => {
-                if link.up() {
+                if call_state.record_success() {
                     sink.returned(&site);
                     site.store_recovered.notify_waiters();
                 }
-                match site.now() - asked > SLOW {
+                match site.now() - asked > SLOW_ANSWER {
                     _ if S::pause(&site).is_none() => {}
                     true => site.note_store_error(),
                     false => site.store_availability.borrow_mut().record_success(site.now()),
@@ -143,7 +143,7 @@
                 };
             }
             Err(why) => {
-                let pause = link.failed(&why);
+                let pause = call_state.record_failure(&why);
                 site.note_store_error();
                 sink.done(&site, None);
                 tokio::time::sleep(pause).await;
@@ -192,7 +192,7 @@
     let mut keys = Vec::new();
     loop {
         let ask = store::newest(S::TOPIC, after.as_deref());
-        let reply = call(site, client, &ask, ANSWER).await?;
+        let reply = call(site, client, &ask, ANSWER_TIMEOUT).await?;
         if reply.status != 200 {
             return Err(format!("list of {}: status {}", S::TOPIC, reply.status));
         }
@@ -232,7 +232,7 @@
 ) -> Result<Option<Offset>, String> {
     let wait = if S::pause(site).is_none() { LONG_POLL } else { Duration::ZERO };
     let Offset { era, at } = from;
-    let reply = call(site, client, &store::read(S::TOPIC, at, wait), wait + ANSWER).await?;
+    let reply = call(site, client, &store::read(S::TOPIC, at, wait), wait + ANSWER_TIMEOUT).await?;
     match reply.status {
         // The store was restored and has assigned these offsets anew, so the
         // records read may not follow the earlier ones.
--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -20,7 +20,7 @@
 use crate::proxy::hosts::HostRecord;
 use crate::proxy::poison;
 use crate::proxy::site::Site;
-use crate::proxy::storelink::{Listed, write};
+use crate::proxy::storelink::{LatestRecords, write};
 
 /// Time between reads of the hosts' records, multiplied by a factor that grows
 /// with the number of hosts, since any host that finds a new one makes it known
@@ -34,7 +34,7 @@
 
 pub(super) struct Hosts {
     /// Records seen so far in the listing in progress.
-    listed: Listed,
+    listed: LatestRecords,
     /// Whether this host's record is in the store, with no write in progress.
     written: Rc<Cell<bool>>,
 }
@@ -47,7 +47,7 @@
 
     /// After a complete listing, writes those of this host's records again that
     /// it lacks.
-    fn restore(&self, site: &Rc<Site>, listed: &Listed) {
+    fn restore(&self, site: &Rc<Site>, listed: &LatestRecords) {
         let (key, own) = own_record(site);
         let is_missing = listed.get(&key) != Some(&own);
         if is_missing && self.written.get() && site.stopping.get().is_none() {
@@ -83,7 +83,7 @@
         if let (None, Some(value)) = (offset, &record.value) {
             self.listed.insert(record.key.clone(), value.clone());
         }
-        if poison::take_record(site, &record.key, record.value.as_deref()) {
+        if poison::apply_quarantine_record(site, &record.key, record.value.as_deref()) {
             return;
         }
         let parsed = record.value.as_deref().map(serde_json::from_slice::<HostRecord>);
--- a/crates/router/src/proxy/http1.rs
+++ b/crates/router/src/proxy/http1.rs
@@ -279,7 +279,7 @@
     }
 
     /// Ends the head of an answer without a body.
-    pub fn bare(mut self) -> BytesMut {
+    pub fn finish_without_body(mut self) -> BytesMut {
         self.0.extend_from_slice(b"\r\n");
         self.0
     }
--- a/crates/router/src/proxy/leadership/change.rs
+++ b/crates/router/src/proxy/leadership/change.rs
@@ -13,7 +13,7 @@
 use super::Leadership;
 use crate::proxy::fleet::Upstream;
 use crate::proxy::notices;
-use crate::proxy::reports::{self, ANSWER};
+use crate::proxy::reports::{self, ANSWER_TIMEOUT};
 use crate::proxy::storeclient::HttpClient;
 
 /// Time between the announcement that an engine closes and the order to it.
@@ -133,7 +133,7 @@
         orders,
     };
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    let reply = client.call(&Call::from(&order), &headers, ANSWER).await;
+    let reply = client.call(&Call::from(&order), &headers, ANSWER_TIMEOUT).await;
     drop(permit);
     leadership.site.traffic.call(client.take_bytes(), reply.is_ok());
     tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version, token = token.number(), orders,
@@ -185,7 +185,7 @@
     upstream: &Upstream,
 ) -> Result<Report, String> {
     let permit = leadership.call_slot().await;
-    let report = reports::ask(client, upstream).await;
+    let report = reports::query(client, upstream).await;
     drop(permit);
     leadership.site.traffic.call(client.take_bytes(), report.is_ok());
     if let Some(known) = leadership.engine_states.borrow_mut().get_mut(&upstream.life) {
--- a/crates/router/src/proxy/leadership/membership.rs
+++ b/crates/router/src/proxy/leadership/membership.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::proxy::site::Site;
 use crate::proxy::storeclient::HttpClient;
-use crate::proxy::storelink::SLOW;
+use crate::proxy::storelink::SLOW_ANSWER;
 use crate::proxy::traffic::Totals;
 
 /// The partition whose assignee is the leader.
@@ -143,7 +143,7 @@
                 before = site.traffic.totals();
                 confirmed = Some(site.now());
                 renewed = asked;
-                if clock::now().saturating_sub(asked) > SLOW {
+                if clock::now().saturating_sub(asked) > SLOW_ANSWER {
                     site.note_store_error();
                 }
                 site.candidate_status.set(CandidateStatus::Candidate);
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -93,9 +93,9 @@
                 .filter(|u| is_reported(u))
                 .for_each(|u| u.note_unreachable_report(site.now()));
             apply_announcement_ages(site, &heartbeat.announcement_ages);
-            cachefeed::hear(site, &heartbeat.news);
+            cachefeed::apply_updates(site, &heartbeat.news);
             state_transfer::compare(site, from, &heartbeat.versions);
-            poison::hear_quarantined(site, std::mem::take(&mut heartbeat.quarantine));
+            poison::handle_quarantine_entries(site, std::mem::take(&mut heartbeat.quarantine));
             site.peers.receive_heartbeat(*heartbeat, site.now());
         }
         Message::Notices(notices) => notices::receive(site, &notices),
@@ -103,11 +103,11 @@
             notices::apply_weights(site, &relay.weights);
             site.relays.receive(relay, site.now());
         }
-        Message::Crashes(reports) => poison::hear_reports(site, &reports),
-        Message::Quarantine(entries) => poison::hear_quarantined(site, entries),
-        Message::Usages(sender, usages) => quota::hear_usages(site, sender, &usages, from),
+        Message::Crashes(reports) => poison::handle_crash_reports(site, &reports),
+        Message::Quarantine(entries) => poison::handle_quarantine_entries(site, entries),
+        Message::Usages(sender, usages) => quota::handle_usages(site, sender, &usages, from),
         Message::Allocations(account, allocations) => {
-            quota::hear_verdicts(site, account, &allocations)
+            quota::apply_allocations(site, account, &allocations)
         }
         // A message is forwarded only once.
         Message::Forward(..) => {}
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -37,8 +37,10 @@
 use super::site::{Broken, Site};
 use crate::clock;
 
-pub use detection::{hear_quarantined, refused_for, take_quarantined, take_record};
-pub use records::{keep, restore_records};
+pub use detection::{
+    add_quarantine_entries, apply_quarantine_record, handle_quarantine_entries, refused_for,
+};
+pub use records::{maintain_records, restore_records};
 
 /// Delay before an upstream is checked, in which this host notices all of its
 /// requests that ended with the upstream's connections.
@@ -103,7 +105,7 @@
         upstream: upstream.key,
         attempt: b.attempt,
         ran: b.ran,
-        well: site.poison.well.borrow().age(b.request, now),
+        well: site.poison.recently_completed.borrow().age(b.request, now),
         at: wall,
     });
     let reports: Vec<CrashReport> = reports.collect();
@@ -117,7 +119,7 @@
         let chunk = chunk.to_vec();
         site.peers.send_chunked(detectors.clone(), SENDS, move || Message::Crashes(chunk.clone()));
     }
-    hear_reports(&site, &reports);
+    handle_crash_reports(&site, &reports);
 }
 
 /// Whether `upstream`, which has just closed connections, has crashed. One that
@@ -170,7 +172,7 @@
 }
 
 /// Handles crash reports, of this host or another, at a detecting host.
-pub fn hear_reports(site: &Rc<Site>, reports: &[CrashReport]) {
+pub fn handle_crash_reports(site: &Rc<Site>, reports: &[CrashReport]) {
     let (now, wall) = (site.now(), clock::wall());
     let poison = &site.poison;
     for report in reports {
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -69,7 +69,7 @@
     if entries.is_empty() {
         return;
     }
-    take_quarantined(site, entries.clone(), OWN);
+    add_quarantine_entries(site, entries.clone(), OWN);
     let message = Message::Quarantine(entries);
     for _ in 0..SENDS {
         site.peers.broadcast(&message);
@@ -77,12 +77,12 @@
 }
 
 /// Adds entries received from another host.
-pub fn hear_quarantined(site: &Site, entries: Vec<Quarantined>) {
-    take_quarantined(site, entries, PEER);
+pub fn handle_quarantine_entries(site: &Site, entries: Vec<Quarantined>) {
+    add_quarantine_entries(site, entries, PEER);
 }
 
 /// Adds entries received from `source`, a name for the log.
-pub fn take_quarantined(site: &Site, entries: Vec<Quarantined>, source: &str) {
+pub fn add_quarantine_entries(site: &Site, entries: Vec<Quarantined>, source: &str) {
     let (now, wall) = (site.now(), clock::wall());
     let poison = &site.poison;
     for entry in entries {
@@ -120,14 +120,14 @@
 }
 
 /// Handles the record under `key` if it is a quarantine entry; false if not.
-pub fn take_record(site: &Site, key: &str, value: Option<&[u8]>) -> bool {
+pub fn apply_quarantine_record(site: &Site, key: &str, value: Option<&[u8]>) -> bool {
     let Some(request) = key.strip_prefix(records::KEY_PREFIX) else { return false };
     let parsed = value.map(serde_json::from_slice::<Quarantined>);
     match parsed {
         // The entry had expired and its record was removed.
         None => {}
         Some(Ok(entry)) if entry.request.to_string() == request => {
-            take_quarantined(site, vec![entry], records::STORE);
+            add_quarantine_entries(site, vec![entry], records::STORE);
         }
         Some(_) => tracing::error!(target: "poison", key, "malformed quarantine record"),
     }
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -11,7 +11,7 @@
 use super::DETECTION;
 use crate::clock;
 use crate::proxy::site::Site;
-use crate::proxy::storelink::{self, Listed};
+use crate::proxy::storelink::{self, LatestRecords};
 
 /// Prefix of the keys of quarantine entries among the hosts' records.
 pub(super) const KEY_PREFIX: &str = "quarantine/";
@@ -31,7 +31,7 @@
 /// Queues the entries in force that are missing from `listed`, the complete list
 /// of records, or are older there: the store may have been restored from a copy
 /// without them.
-pub fn restore_records(site: &Site, listed: &Listed) {
+pub fn restore_records(site: &Site, listed: &LatestRecords) {
     for entry in site.poison.entries() {
         let stored = listed.get(&format!("{KEY_PREFIX}{}", entry.request));
         let stored = stored.and_then(|v| serde_json::from_slice::<Quarantined>(v).ok());
@@ -69,7 +69,7 @@
 }
 
 /// Writes the queued records and removes expired entries, until the process ends.
-pub async fn keep(site: Rc<Site>) {
+pub async fn maintain_records(site: Rc<Site>) {
     loop {
         let next = site.poison.writes.borrow().iter().next().map(|(r, v)| (*r, v.clone()));
         match next {
--- a/crates/router/src/proxy/pool.rs
+++ b/crates/router/src/proxy/pool.rs
@@ -26,7 +26,7 @@
     pub fn take(&self, now: Duration) -> Option<Conn> {
         loop {
             let (mut conn, until) = self.idle.borrow_mut().pop_back()?;
-            if now < until && conn.is_quiet() {
+            if now < until && conn.is_reusable() {
                 return Some(conn);
             }
         }
@@ -43,7 +43,7 @@
     /// Drops the connections that have been idle for too long at `now`, or that the
     /// upstream has closed.
     pub fn sweep(&self, now: Duration) {
-        self.idle.borrow_mut().retain_mut(|(conn, until)| now < *until && conn.is_quiet());
+        self.idle.borrow_mut().retain_mut(|(conn, until)| now < *until && conn.is_reusable());
     }
 
     /// Whether an idle connection is still open at `now`.
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -176,7 +176,7 @@
                     }
                     None => {
                         let allocations = account_for(site, sender(site), chunk);
-                        hear_verdicts(site, sender(site).host, &allocations);
+                        apply_allocations(site, sender(site).host, &allocations);
                     }
                 }
             }
@@ -186,7 +186,7 @@
 
 /// Applies the usages that the host at `from` reports, and answers with the
 /// verdicts on what it may admit.
-pub fn hear_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
+pub fn handle_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
     let allocations = account_for(site, sender, usages);
     if !allocations.is_empty() {
         let own = self::sender(site).host;
@@ -218,7 +218,7 @@
 }
 
 /// Applies the verdicts of the coordinator `account`, a hash of the host's name.
-pub fn hear_verdicts(site: &Site, account: u64, allocations: &[Allocation]) {
+pub fn apply_allocations(site: &Site, account: u64, allocations: &[Allocation]) {
     let now = site.now();
     let mut gate = site.quotas.gate.borrow_mut();
     allocations.iter().for_each(|allocation| gate.apply(account, *allocation, now));
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -26,7 +26,7 @@
 use super::storeclient::HttpClient;
 
 /// Time-out of an engine's answer, which usually takes a few milliseconds.
-pub const ANSWER: Duration = Duration::from_millis(300);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How far a report may lag behind the engine's state: a query sent this long
 /// after a refusal returns the state after the refusal.
@@ -58,9 +58,9 @@
 }
 
 /// Queries the state of `upstream`. An answer of another incarnation is an error.
-pub async fn ask(client: &mut HttpClient, upstream: &Upstream) -> Result<Report, String> {
+pub async fn query(client: &mut HttpClient, upstream: &Upstream) -> Result<Report, String> {
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    match client.call(&engine::report(), &headers, ANSWER).await {
+    match client.call(&engine::report(), &headers, ANSWER_TIMEOUT).await {
         Ok(reply) if reply.status == 200 => {
             let report = engine::parse_report(&reply.body).map_err(|e| e.to_string())?;
             match report.born.may_equal(upstream.life.born) {
@@ -76,7 +76,7 @@
 /// Queries `upstream` once, on a new connection.
 pub async fn query_once(upstream: &Upstream) -> Result<Report, String> {
     let addr = upstream.entry.borrow().addr;
-    ask(&mut HttpClient::new(addr), upstream).await
+    query(&mut HttpClient::new(addr), upstream).await
 }
 
 /// Handles the refusal by `upstream` of a request sent for the version `asked` of
@@ -149,7 +149,7 @@
     let mut looks = 0;
     let mut closed_until = Duration::ZERO;
     let why = loop {
-        closed_until = closed_until.max(site.now() + pause + ANSWER);
+        closed_until = closed_until.max(site.now() + pause + ANSWER_TIMEOUT);
         upstream.closed.set(upstream.closed.get().max(Some(closed_until)));
         tokio::time::sleep(pause).await;
         looks += 1;
@@ -176,10 +176,10 @@
 
 /// Whether `upstream` still answers queries. An engine whose stream is silent may
 /// only have suspended that stream in favour of others.
-pub async fn answers(upstream: &Upstream) -> bool {
+pub async fn is_responsive(upstream: &Upstream) -> bool {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    HttpClient::new(addr).call(&engine::report(), &headers, ANSWER).await.is_ok()
+    HttpClient::new(addr).call(&engine::report(), &headers, ANSWER_TIMEOUT).await.is_ok()
 }
 
 /// Whether another incarnation answers the call `probe` at the address of
@@ -187,7 +187,7 @@
 pub async fn is_replaced(upstream: &Upstream, probe: &Call) -> Option<bool> {
     let addr = upstream.entry.borrow().addr;
     let headers = [(UPSTREAM_HEADER, upstream.life.id.0.as_str())];
-    match HttpClient::new(addr).call(probe, &headers, ANSWER).await {
+    match HttpClient::new(addr).call(probe, &headers, ANSWER_TIMEOUT).await {
         Ok(reply) if reply.status == MISDIRECTED => Some(true),
         Ok(reply) if reply.status == 200 => Some(
             engine::parse_report(&reply.body)
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -18,7 +18,7 @@
 use marjoram_core::upstream::Instance;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::attempt::Opened;
+use super::attempt::StartedAnswer;
 use super::failure::Failure;
 use super::fleet::{Flight, Upstream};
 use super::http1::RequestHead;
@@ -54,9 +54,9 @@
 /// An upstream's answer to the request.
 pub enum Answer {
     /// An answer that has begun; its body is still to be read.
-    Open(Opened, Flight),
+    Open(StartedAnswer, Flight),
     /// A failure that an upstream answered, with its whole body.
-    Failed(Opened, BytesMut),
+    Failed(StartedAnswer, BytesMut),
 }
 
 /// A request that has been admitted, and the state of its sends.
@@ -178,7 +178,7 @@
     }
 
     /// The refusal at the deadline.
-    pub fn expired(&self) -> Refusal {
+    pub fn deadline_refusal(&self) -> Refusal {
         match self.may_have_run {
             true => Refusal::with_status(504, "not answered in time"),
             false => Refusal::not_run("not sent in time", RETRY_MIN),
@@ -197,7 +197,7 @@
     }
 
     /// Records that an answer which had begun was cut off.
-    pub fn broke(&mut self, opened: &Opened, failure: &Failure) {
+    pub fn record_broken_answer(&mut self, opened: &StartedAnswer, failure: &Failure) {
         let upstream = &opened.upstream;
         upstream.record_failure(failure, self.site.now());
         self.site.counters.count("upstream.broken");
@@ -225,7 +225,7 @@
     /// route allows it. `resumed` is the last event of this answer that the caller
     /// already has.
     pub async fn open(&mut self, resumed: Option<u64>) -> Result<Answer, Refusal> {
-        let mut failed: Option<(Opened, BytesMut)> = None;
+        let mut failed: Option<(StartedAnswer, BytesMut)> = None;
         let mut weights_tries = 0;
         loop {
             let chosen = match self.next(resumed.is_some()) {
@@ -258,7 +258,7 @@
     /// router.
     fn next(&self, resumed: bool) -> Result<Option<Chosen>, Refusal> {
         self.may_send()?;
-        if self.site.poison.withholds(self.fingerprint) {
+        if self.site.poison.is_withheld(self.fingerprint) {
             self.note_withheld();
             return Ok(None);
         }
@@ -293,7 +293,7 @@
         }
         let tried = self.tried.len() as u32;
         match (self.sends, self.may_have_run) {
-            _ if self.left().is_zero() => Err(self.expired()),
+            _ if self.left().is_zero() => Err(self.deadline_refusal()),
             _ if self.failed_connects >= MAX_CONNECT_TRIES => {
                 Err(self.give_up("upstreams unreachable"))
             }
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -11,7 +11,7 @@
 
 use super::Exchange;
 use super::choose::Chosen;
-use crate::proxy::attempt::{self, Opened};
+use crate::proxy::attempt::{self, StartedAnswer};
 use crate::proxy::failure::Failure;
 use crate::proxy::fleet::Flight;
 use crate::proxy::http1::RequestWriter;
@@ -115,7 +115,7 @@
             let end = site.at(begun + chosen.begin_within.min(self.expires.saturating_sub(begun)));
             result = tokio::time::timeout_at(end, &mut sent).await;
         }
-        let result = result.unwrap_or_else(|_| Err(Failure::Silent(site.now() - begun)));
+        let result = result.unwrap_or_else(|_| Err(Failure::TimedOut(site.now() - begun)));
         let now = site.now();
         self.waited = now - begun;
         match result {
@@ -183,7 +183,12 @@
 
     /// Handles an upstream's refusal to run the request, which was sent for the
     /// version `asked` of its weights.
-    async fn handle_refusal(&mut self, opened: Opened, asked: Option<u64>, now: Duration) -> Sent {
+    async fn handle_refusal(
+        &mut self,
+        opened: StartedAnswer,
+        asked: Option<u64>,
+        now: Duration,
+    ) -> Sent {
         let upstream = opened.upstream.clone();
         let (status, reported) = (opened.head.status, opened.mark.weights);
         let other_upstream =
@@ -230,7 +235,7 @@
 
     /// Reads the whole body of the answer; `None` if it does not arrive before
     /// the caller's deadline.
-    async fn collect(&self, mut opened: Opened) -> Option<(Opened, BytesMut)> {
+    async fn collect(&self, mut opened: StartedAnswer) -> Option<(StartedAnswer, BytesMut)> {
         let deadline = self.site.at(self.expires);
         let body = tokio::time::timeout_at(deadline, opened.collect()).await.ok()?.ok()?;
         Some((opened, body))
@@ -239,7 +244,7 @@
     /// Checks an answer that has begun. A server error is read whole, to be passed
     /// on if no other upstream succeeds. A success without the header with which
     /// upstreams seal their answers is dropped.
-    async fn check_answer(&mut self, opened: Opened, flight: Flight) -> Sent {
+    async fn check_answer(&mut self, opened: StartedAnswer, flight: Flight) -> Sent {
         let upstream = opened.upstream.clone();
         let status = opened.head.status;
         match status {
@@ -272,7 +277,7 @@
     now: Duration,
 ) {
     flight.read();
-    chosen.upstream.hold(chosen.cache, shared, now);
+    chosen.upstream.note_cached(chosen.cache, shared, now);
     // Only a prompt that was prefilled alone is a sample: how many tokens of
     // others were prefilled in that time is not known exactly.
     if chosen.prefill >= MIN_THROUGHPUT_SAMPLE && ahead == chosen.prefill {
@@ -283,9 +288,9 @@
 /// The outcome of one send.
 pub(super) enum Sent {
     /// An answer that has begun; its body is still to be read.
-    Open(Opened, Flight),
+    Open(StartedAnswer, Flight),
     /// A failure that the upstream answered, with its whole body.
-    Failed(Opened, BytesMut),
+    Failed(StartedAnswer, BytesMut),
     /// Not run: the upstream serves another version of its weights than this host
     /// had recorded.
     OtherWeights,
--- a/crates/router/src/proxy/response.rs
+++ b/crates/router/src/proxy/response.rs
@@ -5,7 +5,7 @@
 use bytes::BytesMut;
 use marjoram_core::events::Splitter;
 
-use super::attempt::Opened;
+use super::attempt::StartedAnswer;
 use super::conn::Conn;
 use super::failure::Failure;
 use super::fleet::Flight;
@@ -42,7 +42,7 @@
 pub async fn run(site: &Site, caller: &mut Conn, exchange: &mut Exchange, last: bool) -> Outcome {
     let answer = tokio::select! {
         answer = exchange.open(None) => answer,
-        () = caller.gone(READ_AHEAD) => return Outcome::Left,
+        () = caller.wait_until_closed(READ_AHEAD) => return Outcome::Left,
     };
     match answer {
         Err(refusal) => Outcome::Refused(refusal),
@@ -56,13 +56,13 @@
     }
 }
 
-fn is_stream(opened: &Opened) -> bool {
+fn is_stream(opened: &StartedAnswer) -> bool {
     let kind = opened.head.headers.get("content-type").unwrap_or_default();
     (200..300).contains(&opened.head.status) && kind.starts_with("text/event-stream")
 }
 
 /// The head of the answer to the caller, made from the upstream's.
-fn head(opened: &Opened, last: bool) -> ResponseWriter {
+fn head(opened: &StartedAnswer, last: bool) -> ResponseWriter {
     let mut writer = ResponseWriter::new(opened.head.status);
     for (name, value) in opened.head.headers.end_to_end() {
         writer.header(name, value);
@@ -77,7 +77,7 @@
 async fn forward_error(
     site: &Site,
     caller: &mut Conn,
-    opened: Opened,
+    opened: StartedAnswer,
     body: &[u8],
     last: bool,
 ) -> Outcome {
@@ -104,7 +104,7 @@
     site: &Site,
     caller: &mut Conn,
     exchange: &mut Exchange,
-    mut opened: Opened,
+    mut opened: StartedAnswer,
     mut flight: Flight,
     last: bool,
 ) -> Outcome {
@@ -112,14 +112,14 @@
     loop {
         let collected = tokio::select! {
             body = tokio::time::timeout_at(site.at(exchange.expires), opened.collect()) => body,
-            () = caller.gone(READ_AHEAD) => return Outcome::Left,
+            () = caller.wait_until_closed(READ_AHEAD) => return Outcome::Left,
         };
         match collected {
-            Err(_) => return Outcome::Refused(exchange.expired()),
+            Err(_) => return Outcome::Refused(exchange.deadline_refusal()),
             Ok(Ok(body)) => {
                 let status = opened.head.status;
                 let bytes = match exchange.request().head.method.as_str() {
-                    "HEAD" => head(&opened, last).bare(),
+                    "HEAD" => head(&opened, last).finish_without_body(),
                     _ => head(&opened, last).finish(&body),
                 };
                 {
@@ -136,11 +136,11 @@
                 };
             }
             Ok(Err(failure)) => {
-                exchange.broke(&opened, &failure);
+                exchange.record_broken_answer(&opened, &failure);
                 drop((opened, flight));
                 let again = tokio::select! {
                     again = exchange.open(None) => again,
-                    () = caller.gone(READ_AHEAD) => return Outcome::Left,
+                    () = caller.wait_until_closed(READ_AHEAD) => return Outcome::Left,
                 };
                 match again {
                     Err(refusal) => return Outcome::Refused(refusal),
@@ -190,7 +190,12 @@
         }
     }
 
-    async fn relay(mut self, caller: &mut Conn, mut opened: Opened, mut flight: Flight) -> Outcome {
+    async fn relay(
+        mut self,
+        caller: &mut Conn,
+        mut opened: StartedAnswer,
+        mut flight: Flight,
+    ) -> Outcome {
         self.head = Some(head(&opened, self.last).chunked());
         loop {
             let step = self.step(caller, &mut opened).await;
@@ -198,7 +203,7 @@
                 Step::Continue => continue,
                 Step::Left => return Outcome::Left,
                 Step::Expired if self.begun => return Outcome::Cut("route's time is up".into()),
-                Step::Expired => return Outcome::Refused(self.exchange.expired()),
+                Step::Expired => return Outcome::Refused(self.exchange.deadline_refusal()),
                 Step::Ended if self.splitter.is_empty() => {
                     opened.upstream.health.borrow_mut().record_response(true);
                     self.exchange.record_completion();
@@ -206,10 +211,10 @@
                     drop(flight);
                     return self.end(caller).await;
                 }
-                Step::Ended => Failure::Broken("stream", "ended inside an event".into()),
+                Step::Ended => Failure::InvalidAnswer("stream", "ended inside an event".into()),
                 Step::Broken(failure) => failure,
             };
-            self.exchange.broke(&opened, &failure);
+            self.exchange.record_broken_answer(&opened, &failure);
             if self.begun && !self.exchange.may_resume() {
                 return Outcome::Cut(failure.to_string());
             }
@@ -217,7 +222,7 @@
             self.splitter.clear();
             let again = tokio::select! {
                 again = self.exchange.open(self.last_event_id) => again,
-                () = caller.gone(READ_AHEAD) => return Outcome::Left,
+                () = caller.wait_until_closed(READ_AHEAD) => return Outcome::Left,
             };
             match again {
                 Ok(Answer::Open(next, next_flight)) if is_stream(&next) => {
@@ -245,7 +250,7 @@
     }
 
     /// Waits for more of the stream and forwards the events that are complete.
-    async fn step(&mut self, caller: &mut Conn, opened: &mut Opened) -> Step {
+    async fn step(&mut self, caller: &mut Conn, opened: &mut StartedAnswer) -> Step {
         let idle_limit = match self.exchange.may_resume() {
             true => STREAM_IDLE_TIMEOUT,
             false => self.exchange.left(),
@@ -253,12 +258,12 @@
         let until = (self.site.now() + idle_limit).min(self.exchange.expires);
         let data = tokio::select! {
             data = tokio::time::timeout_at(self.site.at(until), opened.next_data()) => data,
-            () = caller.gone(READ_AHEAD) => return Step::Left,
+            () = caller.wait_until_closed(READ_AHEAD) => return Step::Left,
         };
         match data {
             Err(_) if self.site.now() >= self.exchange.expires => return Step::Expired,
-            Err(_) if reports::answers(&opened.upstream).await => return Step::Continue,
-            Err(_) => return Step::Broken(Failure::Silent(idle_limit)),
+            Err(_) if reports::is_responsive(&opened.upstream).await => return Step::Continue,
+            Err(_) => return Step::Broken(Failure::TimedOut(idle_limit)),
             Ok(Err(failure)) => return Step::Broken(failure),
             Ok(Ok(None)) => return Step::Ended,
             Ok(Ok(Some(data))) => self.splitter.push(&data),
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -69,7 +69,7 @@
     ntex::rt::spawn(cachefeed::run(site.clone()));
     ntex::rt::spawn(peers::run(site.clone()));
     ntex::rt::spawn(notices::run(site.clone()));
-    ntex::rt::spawn(poison::keep(site.clone()));
+    ntex::rt::spawn(poison::maintain_records(site.clone()));
     ntex::rt::spawn(quota::run(site.clone()));
     let warm_listener = listen(site.peers.record.peers)?;
     ntex::rt::spawn(state_transfer::serve(site.clone(), warm_listener));
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -33,7 +33,7 @@
     /// crashed.
     pub broken: RefCell<HashMap<Instance, Vec<Broken>>>,
     /// Requests that completed recently.
-    pub well: RefCell<RecentCompletions>,
+    pub recently_completed: RefCell<RecentCompletions>,
     /// Quarantine entries learnt recently, for heartbeats.
     pub recent_entries: RefCell<Vec<(Quarantined, Duration)>>,
     /// Incremented when received reports may complete a suspect's crashes, so
@@ -50,7 +50,7 @@
 impl Poison {
     /// Records that `request` completed at `now`.
     pub fn record_completion(&self, request: Fingerprint, now: Duration) {
-        self.well.borrow_mut().record(request, now);
+        self.recently_completed.borrow_mut().record(request, now);
         self.suspects.borrow_mut().clear(request);
     }
 
@@ -62,7 +62,7 @@
     /// Whether `request` is not sent for now: it was in flight at enough crashes
     /// and all hosts have yet to report on these, or it was in flight at one
     /// crash fewer and its last upstream is being checked.
-    pub fn withholds(&self, request: Fingerprint) -> bool {
+    pub fn is_withheld(&self, request: Fingerprint) -> bool {
         let suspects = self.suspects.borrow();
         let broke = || self.broken.borrow().values().flatten().any(|b| b.request == request);
         suspects.withholds(request) || suspects.is_close(request) && broke()
--- a/crates/router/src/proxy/state_transfer.rs
+++ b/crates/router/src/proxy/state_transfer.rs
@@ -119,7 +119,7 @@
     for (model, version) in knowledge.weights {
         follow::apply_announced_weights(site, &model, version, false, &source);
     }
-    poison::take_quarantined(site, knowledge.quarantine, &source);
+    poison::add_quarantine_entries(site, knowledge.quarantine, &source);
     site.startup_reads_done.set(true);
     // Once this host has listed the upstreams in the store, its own records are
     // newer.
--- a/crates/router/src/proxy/storeclient.rs
+++ b/crates/router/src/proxy/storeclient.rs
@@ -67,7 +67,7 @@
         limit: Duration,
     ) -> Result<Reply, CallError> {
         let mut kept = self.conn.take();
-        let mut conn = match kept.take_if(|conn| conn.is_quiet()) {
+        let mut conn = match kept.take_if(|conn| conn.is_reusable()) {
             Some(conn) => conn,
             None => Conn::connect(self.peer, CONNECT_TIMEOUT.min(limit))
                 .await
@@ -112,7 +112,7 @@
     while let Some(data) = answer::next_piece(conn, &mut body).await? {
         received.extend_from_slice(&data);
     }
-    let keep = !head.headers.closes(head.minor) && conn.buf.is_empty() && !conn.ended;
+    let keep = !head.headers.closes(head.minor) && conn.buf.is_empty() && !conn.read_closed;
     let era = store::era(|name| head.headers.get(name)).unwrap_or_else(|error| {
         // Treated like a store that reports no era: its records are still valid.
         tracing::warn!(target: "store", %error, "cannot parse the store's era");
--- a/crates/router/src/proxy/storelink.rs
+++ b/crates/router/src/proxy/storelink.rs
@@ -10,11 +10,11 @@
 use super::storeclient::{CallError, HttpClient, Reply};
 
 /// Time-out of an answer, in addition to the time that the call asks to wait.
-pub const ANSWER: Duration = Duration::from_millis(1_500);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An answer that takes longer counts as a store error: usually an answer takes a
 /// few milliseconds.
-pub const SLOW: Duration = Duration::from_millis(150);
+pub const SLOW_ANSWER: Duration = Duration::from_millis(150);
 
 /// Pause after the first failed call; doubled after each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
@@ -22,24 +22,24 @@
 const MAX_PAUSE: Duration = Duration::from_millis(900);
 
 /// The newest record of each key, from a complete list.
-pub type Listed = HashMap<String, Vec<u8>>;
+pub type LatestRecords = HashMap<String, Vec<u8>>;
 
 /// State of the calls to the store for one topic: whether they work, and how long
 /// to pause before the next one.
-pub struct Link {
+pub struct CallState {
     topic: &'static str,
     down: bool,
     pause: Duration,
 }
 
-impl Link {
+impl CallState {
     /// State for calls on `topic`, before the first call.
     pub fn new(topic: &'static str) -> Self {
         Self { topic, down: false, pause: FIRST_PAUSE }
     }
 
     /// Records that a call succeeded; true if the one before had failed.
-    pub fn up(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         self.pause = FIRST_PAUSE;
         let was_down = std::mem::replace(&mut self.down, false);
         if was_down {
@@ -49,7 +49,7 @@
     }
 
     /// Records that a call failed; returns how long to pause before the next.
-    pub fn failed(&mut self, why: &str) -> Duration {
+    pub fn record_failure(&mut self, why: &str) -> Duration {
         if !std::mem::replace(&mut self.down, true) {
             tracing::warn!(target: "store", topic = self.topic, why, "store unreachable");
         }
@@ -79,17 +79,17 @@
 /// Writes a record to the hosts' topic; retries until the store has accepted it.
 pub async fn write(site: &Site, record: &Record) {
     let write = store::write(store::HOSTS, record);
-    let mut link = Link::new(store::HOSTS);
+    let mut call_state = CallState::new(store::HOSTS);
     loop {
         let mut client = HttpClient::new(site.settings.load().store.addr);
-        let why = match call(site, &mut client, &write, ANSWER).await {
+        let why = match call(site, &mut client, &write, ANSWER_TIMEOUT).await {
             Ok(reply) if reply.status == 200 => {
-                link.up();
+                call_state.record_success();
                 return;
             }
             Ok(reply) => format!("write: status {}", reply.status),
             Err(why) => why,
         };
-        tokio::time::sleep(link.failed(&why)).await;
+        tokio::time::sleep(call_state.record_failure(&why)).await;
     }
 }
