--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -13,6 +13,6 @@
 
 /// Time since the Unix epoch, for times that are used beyond this process. It may step
 /// by seconds in either direction.
-pub fn wall() -> Duration {
+pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/router/src/follow/config.rs
+++ b/crates/router/src/follow/config.rs
@@ -1,6 +1,6 @@
 //! Reads the log service's `config` stream from the last offset applied and puts
 //! each new configuration in force. If the records that follow have expired, it
-//! starts from the newest snapshot (see `duty`).
+//! starts from the newest snapshot (see `lease_tasks`).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,8 +9,8 @@
 use marjoram_core::config::{Applied, Config, Record};
 use marjoram_core::wire::LogRead;
 
-use crate::duty;
 use crate::error::Error;
+use crate::lease_tasks;
 use crate::log::{self, Log};
 use crate::node::{Active, Node};
 
@@ -55,7 +55,7 @@
     let mut read = log.read(log::CONFIG, config.expected()).await?;
     if read.oldest > config.expected() {
         let (from, to) = (config.expected(), read.oldest);
-        let restored = match duty::newest_snapshot(log).await? {
+        let restored = match lease_tasks::newest_snapshot(log).await? {
             Some(snapshot) => config.restore(snapshot),
             None => false,
         };
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -37,7 +37,7 @@
 }
 
 /// Makes one call over an open connection and returns the answer.
-pub async fn ask(
+pub async fn call(
     sender: SendRequest<Bytes>,
     addr: SocketAddr,
     body: Bytes,
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,24 +5,24 @@
 //! configuration from the platform's log service, and the engines and entry hosts from
 //! the host list.
 
+mod at_most_once;
 mod clock;
-mod duty;
 mod error;
 mod follow;
 mod forward;
 mod gossip;
 mod job;
+mod lease_tasks;
 mod link;
 mod log;
 mod node;
-mod once;
 mod options;
 mod peer;
 mod poison;
 mod proxy;
 mod quarantine;
 mod serve;
-mod warm;
+mod startup;
 
 use std::process::ExitCode;
 
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -128,7 +128,7 @@
     pub down: [AtomicBool; MAX_SLOTS],
     /// A configuration has been put in force, or the stream has been read to its end.
     pub configured: AtomicBool,
-    /// The start-up reads are done and callers are accepted (see `warm`).
+    /// The start-up reads are done and callers are accepted (see `startup`).
     pub ready: AtomicBool,
     /// Set on SIGTERM or SIGINT: accept no new work, send callers to other routers.
     pub draining: AtomicBool,
--- a/crates/router/src/peer.rs
+++ b/crates/router/src/peer.rs
@@ -58,5 +58,5 @@
             sender
         }
     };
-    link::ask(sender, link, body.into()).await
+    link::call(sender, link, body.into()).await
 }
--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -88,7 +88,7 @@
             .map_err(|e| Failure::from(("answer head", e)))?;
         let framing = http1::response_framing(method, &head)
             .map_err(|e| Failure::InvalidAnswer("answer head", e.to_string()))?;
-        let mark = headers::mark(head.status, |name| head.headers.get(name));
+        let mark = headers::response_metadata(head.status, |name| head.headers.get(name));
         let mut body = Body::from(framing);
         let stray = match (&mark.attempt, attempt) {
             (Some(answered), Some(sent)) => answered != sent,
--- a/crates/router/src/proxy/callers.rs
+++ b/crates/router/src/proxy/callers.rs
@@ -115,7 +115,7 @@
         Ok(Err(_)) => return refuse_malformed(site, conn, 400, "malformed body").await,
         Err(_) => return refuse_malformed(site, conn, 408, "body not in time").await,
     };
-    let asked = headers::asked(|name| head.headers.get(name));
+    let asked = headers::request_metadata(|name| head.headers.get(name));
     let last = head.headers.closes(head.minor) || site.stopping.get().is_some();
     let request = Request { head, body, started, asked };
     answer(site, conn, request, last).await
--- a/crates/router/src/proxy/entry.rs
+++ b/crates/router/src/proxy/entry.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use marjoram_platform::entry::{self, Question};
+use marjoram_platform::entry::{self, HostQuery};
 use tokio::net::TcpListener;
 use tracing_appender::non_blocking::ErrorCounter;
 
@@ -57,18 +57,18 @@
             },
             Err(_) => return,
         };
-        let bytes = match (entry::question(&head.target), head.target.as_str()) {
-            (Question::Ready, _) => {
+        let bytes = match (entry::parse_query(&head.target), head.target.as_str()) {
+            (HostQuery::Ready, _) => {
                 let status = if site.is_ready() { 200 } else { 503 };
                 ResponseWriter::new(status).finish(b"")
             }
-            (Question::Addresses(_), _) => addresses(&site),
-            (Question::Unknown, METRICS) => {
+            (HostQuery::Addresses(_), _) => addresses(&site),
+            (HostQuery::Unknown, METRICS) => {
                 let mut writer = ResponseWriter::new(200);
                 writer.header("content-type", b"text/plain");
                 writer.finish(metrics(&site, &dropped).as_bytes())
             }
-            (Question::Unknown, STATE) => {
+            (HostQuery::Unknown, STATE) => {
                 let mut writer = ResponseWriter::new(200);
                 writer.header("content-type", b"application/json");
                 writer.finish(state(&site).to_string().as_bytes())
@@ -140,7 +140,7 @@
 
 /// The quarantine: entries in force, and those that expired recently.
 fn quarantine(site: &Site) -> Vec<serde_json::Value> {
-    let wall = clock::wall();
+    let wall = clock::unix_time();
     let held = site.poison.entries().into_iter().map(|v| {
         serde_json::json!({ "fingerprint": v.request.to_string(), "repeats": v.repeats,
             "left_s": v.until().saturating_sub(wall).as_secs(), "upstreams": v.upstreams })
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -197,7 +197,7 @@
             return Err(format!("list of {}: status {}", S::TOPIC, reply.status));
         }
         let page = store::parse_newest(&reply.body).map_err(|e| e.to_string())?;
-        log_unparsed(S::TOPIC, &page.strange);
+        log_unparsed(S::TOPIC, &page.unreadable);
         // The pages of a listing are no consistent snapshot, so reading continues
         // at the end offset of the first page.
         let first = end.is_none();
@@ -238,8 +238,8 @@
         // records read may not follow the earlier ones.
         _ if reply.era != era => Ok(None),
         200 => {
-            let page = store::page(at, &reply.body).map_err(|e| e.to_string())?;
-            log_unparsed(S::TOPIC, &page.strange);
+            let page = store::parse_page(at, &reply.body).map_err(|e| e.to_string())?;
+            log_unparsed(S::TOPIC, &page.unreadable);
             page.records.iter().for_each(|r| sink.record(site, &r.record, Some(r.offset)));
             Ok(Some(Offset { era, at: page.next }))
         }
--- a/crates/router/src/proxy/leadership/change.rs
+++ b/crates/router/src/proxy/leadership/change.rs
@@ -7,7 +7,7 @@
 
 use marjoram_core::pace::MIN_POLL_INTERVAL;
 use marjoram_core::upstream::Weights;
-use marjoram_platform::engine::{Ordered, Report, UPSTREAM_HEADER, WeightsOrder};
+use marjoram_platform::engine::{OrderOutcome, Report, UPSTREAM_HEADER, WeightsOrder};
 use marjoram_platform::store::Call;
 
 use super::Leadership;
@@ -138,9 +138,9 @@
     leadership.site.traffic.call(client.take_bytes(), reply.is_ok());
     tracing::info!(target: "weights", upstream = %upstream.life, version = weights.version, token = token.number(), orders,
         outcome = ?reply.as_ref().map(|r| r.status).map_err(|e| e.to_string()), "order sent");
-    match reply.as_ref().map(|r| Ordered::from(r.status)) {
-        Ok(Ordered::Holds) => return End::Changed,
-        Ok(Ordered::Accepted) => {
+    match reply.as_ref().map(|r| OrderOutcome::from(r.status)) {
+        Ok(OrderOutcome::AlreadyServing) => return End::Changed,
+        Ok(OrderOutcome::Accepted) => {
             leadership
                 .engine_states
                 .borrow_mut()
@@ -148,11 +148,11 @@
                 .or_default()
                 .orders = Some(orders + 1);
         }
-        Ok(Ordered::Misdirected) => {
+        Ok(OrderOutcome::Misdirected) => {
             leadership.site.fleet.remove(&upstream.life);
             return End::Failed("its address belongs to another upstream".into());
         }
-        Ok(Ordered::Conflict) => {
+        Ok(OrderOutcome::Conflict) => {
             // Another order is in progress, or was accepted unnoticed; the
             // engine's next report decides.
             leadership
@@ -174,7 +174,8 @@
             client = HttpClient::new(addr);
         }
     }
-    let accepted = matches!(reply.map(|r| Ordered::from(r.status)), Ok(Ordered::Accepted));
+    let accepted =
+        matches!(reply.map(|r| OrderOutcome::from(r.status)), Ok(OrderOutcome::Accepted));
     wait_until_changed(leadership, upstream, weights, &mut client, accepted).await
 }
 
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -99,7 +99,7 @@
         return;
     }
     site.counters.count("upstream.crashed");
-    let (now, wall) = (site.now(), clock::wall());
+    let (now, wall) = (site.now(), clock::unix_time());
     let reports = broken.into_iter().map(|b| CrashReport {
         request: b.request,
         upstream: upstream.key,
@@ -173,7 +173,7 @@
 
 /// Handles crash reports, of this host or another, at a detecting host.
 pub fn handle_crash_reports(site: &Rc<Site>, reports: &[CrashReport]) {
-    let (now, wall) = (site.now(), clock::wall());
+    let (now, wall) = (site.now(), clock::unix_time());
     let poison = &site.poison;
     for report in reports {
         // Times are wall-clock times, and the clock of another host may be ahead.
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -59,7 +59,7 @@
         suspects.refute(now, is_alive);
         suspects.detect(now)
     };
-    let at = clock::wall();
+    let at = clock::unix_time();
     let entry = |(request, upstreams)| Quarantined::new(request, upstreams, at);
     publish(site, identified.into_iter().map(entry).collect());
 }
@@ -83,7 +83,7 @@
 
 /// Adds entries received from `source`, a name for the log.
 pub fn add_quarantine_entries(site: &Site, entries: Vec<Quarantined>, source: &str) {
-    let (now, wall) = (site.now(), clock::wall());
+    let (now, wall) = (site.now(), clock::unix_time());
     let poison = &site.poison;
     for entry in entries {
         let request = entry.request;
@@ -137,7 +137,7 @@
 /// For how long `request`, whose attempt is `id`, is still refused; `None` if it
 /// is not in quarantine.
 pub fn refused_for(site: &Site, request: Fingerprint, id: &str) -> Option<Duration> {
-    let left = site.poison.quarantine.borrow().refuses(request, clock::wall())?;
+    let left = site.poison.quarantine.borrow().refuses(request, clock::unix_time())?;
     site.counters.count("poison.refused");
     tracing::info!(target: "poison", id, fingerprint = %request, left_s = left.as_secs(),
         "request refused: in quarantine");
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -88,7 +88,7 @@
                 let _ =
                     tokio::time::timeout(SWEEP_INTERVAL, site.poison.write_requested.notified())
                         .await;
-                let expired = site.poison.quarantine.borrow_mut().expire(clock::wall());
+                let expired = site.poison.quarantine.borrow_mut().expire(clock::unix_time());
                 for request in expired {
                     tracing::info!(target: "poison", fingerprint = %request, "quarantine expired");
                     queue_removal(&site, request);
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -68,11 +68,11 @@
         let head = &self.request.head;
         let mut writer = RequestWriter::new(&head.method, &head.target);
         for (name, value) in head.headers.end_to_end() {
-            if !headers::is_ours(name) && !headers::is_last_event(name) {
+            if !headers::is_router_header(name) && !headers::is_last_event(name) {
                 writer.header(name, value);
             }
         }
-        headers::tell(envelope, |name, value| writer.header(name, value.as_bytes()));
+        headers::write_envelope(envelope, |name, value| writer.header(name, value.as_bytes()));
         let bodyless =
             self.request.body.is_empty() && matches!(head.method.as_str(), "GET" | "HEAD");
         writer.finish((!bodyless).then_some(&self.request.body))
--- a/crates/router/src/proxy/state_transfer.rs
+++ b/crates/router/src/proxy/state_transfer.rs
@@ -92,7 +92,7 @@
 async fn fetch(site: Rc<Site>, from: SocketAddr) {
     let asked = async {
         let sender = link::connect(from).await?;
-        link::ask(sender, from, Bytes::new()).await
+        link::call(sender, from, Bytes::new()).await
     };
     let answer = match tokio::time::timeout(ANSWER_TIMEOUT, asked).await {
         Ok(answer) => answer,
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -116,7 +116,7 @@
     /// The error to answer `request` with, if it is quarantined.
     pub fn quarantine_error(&self, request: Fingerprint) -> Option<Error> {
         let state = self.state.lock().unwrap();
-        let left = state.quarantine.refuses(request, clock::wall())?;
+        let left = state.quarantine.refuses(request, clock::unix_time())?;
         Some(Error::Quarantined(request.to_string(), left))
     }
 
@@ -139,7 +139,7 @@
     pub fn take_crash_reports(&self, key: u64) -> Vec<CrashReport> {
         let mut state = self.state.lock().unwrap();
         let broken = state.broken.remove(&key).unwrap_or_default();
-        let (now, wall) = (clock::now(), clock::wall());
+        let (now, wall) = (clock::now(), clock::unix_time());
         let report = |b: &BrokenCompletion| CrashReport {
             request: b.request,
             upstream: key,
@@ -181,7 +181,7 @@
     /// quarantine only explains the crash.
     pub fn add(&self, reports: &[CrashReport]) {
         let mut state = self.state.lock().unwrap();
-        let wall = clock::wall();
+        let wall = clock::unix_time();
         for e in reports {
             let refused = state.quarantine.refuses(e.request, wall);
             match (refused, state.quarantine.recurrence(e, wall)) {
@@ -197,7 +197,7 @@
     pub fn detect(&self) {
         let mut state = self.state.lock().unwrap();
         for (request, upstreams) in state.suspects.detect(clock::now()) {
-            state.publish(Quarantined::new(request, upstreams, clock::wall()));
+            state.publish(Quarantined::new(request, upstreams, clock::unix_time()));
         }
         let state = &mut *state;
         let stale =
@@ -207,7 +207,7 @@
             state.entry_times.insert(entry.request, clock::now());
             state.pending_records.push(CrashRecord::Quarantined(entry.clone()));
         }
-        for request in state.quarantine.expire(clock::wall()) {
+        for request in state.quarantine.expire(clock::unix_time()) {
             state.entry_times.remove(&request);
             tracing::info!(target: "poison", "poison: quarantine of request {request} expired.");
         }
@@ -223,7 +223,7 @@
 
     fn admit(&mut self, entry: Quarantined, source: &str) {
         let (request, upstreams) = (entry.request, entry.upstreams.clone());
-        let admission = self.quarantine.admit(entry, clock::wall());
+        let admission = self.quarantine.admit(entry, clock::unix_time());
         if admission != Admission::Over {
             self.entry_times.insert(request, clock::now());
         }
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -23,16 +23,16 @@
 use marjoram_core::members::Status;
 use ntex::web::{self, HttpResponse, types};
 
-use crate::duty;
+use crate::at_most_once;
 use crate::error::Error;
 use crate::follow;
 use crate::gossip;
+use crate::lease_tasks;
 use crate::node::Node;
-use crate::once;
 use crate::options::Settings;
 use crate::peer;
 use crate::poison;
-use crate::warm;
+use crate::startup;
 
 type Shared = types::State<Arc<Node>>;
 
@@ -53,11 +53,11 @@
     ntex::rt::spawn(peers::serve(node.clone(), links));
     ntex::rt::spawn(follow::config(node.clone()));
     ntex::rt::spawn(follow::hosts(node.clone()));
-    ntex::rt::spawn(warm::start(node.clone()));
+    ntex::rt::spawn(startup::start(node.clone()));
     ntex::rt::spawn(gossip::run(node.clone()));
-    ntex::rt::spawn(duty::contend(node.clone()));
-    ntex::rt::spawn(duty::run_holder_tasks(node.clone()));
-    ntex::rt::spawn(once::follow(node.clone()));
+    ntex::rt::spawn(lease_tasks::contend(node.clone()));
+    ntex::rt::spawn(lease_tasks::run_holder_tasks(node.clone()));
+    ntex::rt::spawn(at_most_once::follow(node.clone()));
     ntex::rt::spawn(poison::follow(node.clone()));
     let shared = node.clone();
     let body_limit = node.settings.max_prompt + BODY_SLACK;
@@ -97,7 +97,7 @@
     node.draining.store(true, Ordering::Release);
     tracing::info!(target: "serve", "serve: draining for {:?}.", node.settings.drain);
     gossip::announce_status(&node, Status::Draining).await;
-    duty::release(&node).await;
+    lease_tasks::release(&node).await;
     ntex::time::sleep(node.settings.drain).await;
     let deadline = Instant::now() + DRAIN_LIMIT;
     while node.inflight_total() > 0 && Instant::now() < deadline {
--- a/crates/router/src/serve/service.rs
+++ b/crates/router/src/serve/service.rs
@@ -10,13 +10,13 @@
 use rand::seq::SliceRandom;
 
 use super::{Shared, reply_error};
+use crate::at_most_once;
 use crate::error::Error;
 use crate::node::Node;
-use crate::once;
 
 /// Forwards a call to a plain service.
 ///
-/// With an idempotency key the call runs at most once (see `once`). Without one it is
+/// With an idempotency key the call runs at most once (see `at_most_once`). Without one it is
 /// sent once and never retried: the answer to a refused connection is "not run", and
 /// to any later failure "outcome unknown".
 pub async fn call_service(
@@ -31,21 +31,21 @@
     }
     let mut services = node.pool.load().services.clone();
     services.shuffle(&mut rand::rng());
-    let call = once::Call { services, path: name.into_inner(), body };
+    let call = at_most_once::Call { services, path: name.into_inner(), body };
     let key = request.headers().get(IDEMPOTENCY_KEY).and_then(|v| v.to_str().ok());
     let reply = match key {
-        Some(key) => once::call(&node, key, call).await,
-        None => once::call_plain(call).await,
+        Some(key) => at_most_once::call(&node, key, call).await,
+        None => at_most_once::call_plain(call).await,
     };
     match reply {
-        once::Reply::Answer(answer, replayed) => {
+        at_most_once::Reply::Answer(answer, replayed) => {
             let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
             HttpResponse::build(status)
                 .content_type(answer.kind.as_deref().unwrap_or("application/octet-stream"))
                 .header("idempotent-replayed", if replayed { "true" } else { "false" })
                 .body(answer.body)
         }
-        once::Reply::Refused(error) => {
+        at_most_once::Reply::Refused(error) => {
             tracing::info!(target: "serve", "serve: service call refused: {error}.");
             reply_error(&error)
         }
