--- a/crates/core/tests/candidacy_model.rs
+++ b/crates/core/tests/candidacy_model.rs
@@ -1,9 +1,9 @@
-//! Promise: some hosts with room always stand for the duty of ordering
-//! weights, and no more than needed, whoever comes and goes.
+//! Invariant: some hosts with capacity are always candidates for the leadership of
+//! weights rollouts, and no more than needed, as hosts start and stop.
 //!
-//! A model of 295 hosts that hear each other's stance and room a round late,
-//! decide each 200 ms whether to join or leave, and are confirmed by a store
-//! that has outages.
+//! A model of 295 hosts that receive each other's candidate status and capacity one round
+//! late, decide every 200 ms whether to join or leave the candidate group, and are confirmed
+//! by a store that has outages.
 
 use std::time::Duration;
 
@@ -14,268 +14,278 @@
 
 const HOSTS: usize = 295;
 const LEASE: Duration = Duration::from_millis(2_700);
-const LOOK: Duration = Duration::from_millis(200);
+const POLL: Duration = Duration::from_millis(200);
 
-/// Time in which hosts hear from each other once.
+/// Time in which each host receives one heartbeat of every other.
 const ROUND: Duration = Duration::from_millis(1_900);
 
 #[derive(Debug, Clone)]
 struct Host {
-    room: Room,
+    capacity: Room,
     name: u64,
     started: Duration,
     joined: Option<Duration>,
     confirmed: Option<Duration>,
-    rest: Duration,
-    /// When it last heard of another that stood.
-    occupied: Duration,
+    resting_until: Duration,
+    /// When it last knew of another candidate.
+    last_candidate: Duration,
     up: bool,
-    /// It does not reach the store.
-    cut: bool,
-    /// When it last saw a store error.
-    error: Option<Duration>,
+    /// Whether it cannot reach the store.
+    disconnected: bool,
+    /// Time of its last store error.
+    last_error: Option<Duration>,
 }
 
 impl Host {
-    fn room(&self, now: Duration) -> Room {
-        if now < self.rest { Room::default() } else { self.room }
+    fn effective_capacity(&self, now: Duration) -> Room {
+        if now < self.resting_until { Room::default() } else { self.capacity }
     }
 
-    fn stance(&self, now: Duration) -> Stance {
+    fn status(&self, now: Duration) -> Stance {
         Stance::new(self.joined, self.confirmed, LEASE, now)
     }
 
-    fn errors(&self, now: Duration) -> Option<Duration> {
-        self.error.map(|at| now - at)
+    fn error_age(&self, now: Duration) -> Option<Duration> {
+        self.last_error.map(|at| now - at)
     }
 
-    fn stop(&mut self) {
+    fn stop_candidacy(&mut self) {
         (self.joined, self.confirmed) = (None, None);
     }
 }
 
-/// Time for all to have started and for those not needed to have left.
+/// Time until all hosts have started and surplus candidates have left.
 const SETTLED: Duration = Duration::from_secs(20);
 
-/// What a host told of itself, heard by the others a round later.
-type Heard = Vec<Option<Other>>;
+/// What each host reported of itself in one step; the others receive it a round later.
+type Reports = Vec<Option<Other>>;
 
-/// What was told `late` ago.
-fn aged(other: Other, late: Duration) -> Other {
-    Other { errors: other.errors.map(|age| age + late), ..other }
+/// `other` as it reads when received `late` after it was sent.
+fn delayed(other: Other, delay: Duration) -> Other {
+    Other { errors: other.errors.map(|age| age + delay), ..other }
 }
 
 struct Site {
     now: Duration,
     hosts: Vec<Host>,
-    told: Vec<Heard>,
-    /// The store confirms nobody.
+    sent: Vec<Reports>,
+    /// Whether the store is down and confirms no candidate.
     outage: bool,
     pending: bool,
 }
 
 impl Site {
-    /// All hosts start within five seconds; a fifth have little room.
+    /// All hosts start within five seconds; a fifth of them have little capacity.
     fn start(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let host = |at: usize| Host {
-            room: Room(if at.is_multiple_of(5) { 10 } else { 20 + rng.random_range(0..3) * 40 }),
+            capacity: Room(if at.is_multiple_of(5) {
+                10
+            } else {
+                20 + rng.random_range(0..3) * 40
+            }),
             name: rng.random(),
             started: Duration::from_millis(rng.random_range(0..5_000)),
             joined: None,
             confirmed: None,
-            rest: Duration::ZERO,
-            occupied: Duration::ZERO,
+            resting_until: Duration::ZERO,
+            last_candidate: Duration::ZERO,
             up: true,
-            cut: false,
-            error: None,
+            disconnected: false,
+            last_error: None,
         };
         let hosts = (0..HOSTS).map(host).collect();
-        Self { now: Duration::ZERO, hosts, told: Vec::new(), outage: false, pending: false }
+        Self { now: Duration::ZERO, hosts, sent: Vec::new(), outage: false, pending: false }
     }
 
-    fn view(&self, at: usize, heard: &Heard) -> View {
+    fn view(&self, at: usize, received: &Reports) -> View {
         let host = &self.hosts[at];
-        let others = heard.iter().enumerate().filter(|(other, _)| *other != at);
-        let late = LOOK * (self.told.len() as u32 - 1);
+        let others = received.iter().enumerate().filter(|(other, _)| *other != at);
+        let delay = POLL * (self.sent.len() as u32 - 1);
         View {
             up: self.now - host.started,
-            vacant: self.now - host.occupied,
+            vacant: self.now - host.last_candidate,
             round: ROUND,
             pending: self.pending,
-            rank: (host.room(self.now), host.name),
-            errors: host.errors(self.now),
-            others: others.filter_map(|(_, other)| *other).map(|o| aged(o, late)).collect(),
+            rank: (host.effective_capacity(self.now), host.name),
+            errors: host.error_age(self.now),
+            others: others.filter_map(|(_, other)| *other).map(|o| delayed(o, delay)).collect(),
         }
     }
 
     fn step(&mut self) {
-        self.now += LOOK;
+        self.now += POLL;
         let now = self.now;
-        let tell = |host: &Host| {
-            let rank = (host.room(now), host.name);
+        let report = |host: &Host| {
+            let rank = (host.effective_capacity(now), host.name);
             (host.up && now >= host.started).then(|| Other {
-                stance: host.stance(now),
+                stance: host.status(now),
                 rank,
-                errors: host.errors(now),
+                errors: host.error_age(now),
             })
         };
-        self.told.push(self.hosts.iter().map(tell).collect());
-        let late = (ROUND.as_millis() / LOOK.as_millis()) as usize;
-        if self.told.len() > late {
-            self.told.remove(0);
+        self.sent.push(self.hosts.iter().map(report).collect());
+        let delay = (ROUND.as_millis() / POLL.as_millis()) as usize;
+        if self.sent.len() > delay {
+            self.sent.remove(0);
         }
-        let heard = self.told[0].clone();
+        let received = self.sent[0].clone();
         for at in 0..HOSTS {
-            if !self.hosts[at].up || now < self.hosts[at].started + LOOK * 2 {
+            if !self.hosts[at].up || now < self.hosts[at].started + POLL * 2 {
                 continue;
             }
-            let view = self.view(at, &heard);
-            let answers = !self.outage && !self.hosts[at].cut;
-            self.decide(at, &view, answers);
+            let view = self.view(at, &received);
+            let store_answers = !self.outage && !self.hosts[at].disconnected;
+            self.decide(at, &view, store_answers);
         }
     }
 
-    fn decide(&mut self, at: usize, view: &View, answers: bool) {
+    fn decide(&mut self, at: usize, view: &View, store_answers: bool) {
         let (now, host) = (self.now, &mut self.hosts[at]);
-        if !answers {
-            host.error = Some(now);
+        if !store_answers {
+            host.last_error = Some(now);
         }
-        if view.standing() > 0 || host.occupied < host.started {
-            host.occupied = now;
+        if view.standing() > 0 || host.last_candidate < host.started {
+            host.last_candidate = now;
         }
-        match (host.joined, answers) {
+        match (host.joined, store_answers) {
             (None, _) if view.joins() => host.joined = Some(now),
             (None, _) => {}
             (Some(_), true) => {
                 host.confirmed = Some(now);
                 if view.leaves() {
-                    host.stop();
+                    host.stop_candidacy();
                 }
             }
             (Some(_), false) => {
-                let lapse = host.confirmed.map(|at| now - at).filter(|lapse| *lapse >= LEASE);
-                if lapse.is_some_and(|lapse| view.rests(lapse)) {
-                    host.rest = now + REST;
-                    host.stop();
+                let since_confirmed = host
+                    .confirmed
+                    .map(|at| now - at)
+                    .filter(|since_confirmed| *since_confirmed >= LEASE);
+                if since_confirmed.is_some_and(|since_confirmed| view.rests(since_confirmed)) {
+                    host.resting_until = now + REST;
+                    host.stop_candidacy();
                 }
             }
         }
     }
 
-    fn play(&mut self, time: Duration) {
+    fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step();
         }
     }
 
-    /// Hosts that the store confirms.
-    fn standing(&self) -> Vec<usize> {
-        let stands = |at: &usize| {
+    /// Candidates that the store has confirmed.
+    fn candidates(&self) -> Vec<usize> {
+        let is_candidate = |at: &usize| {
             let host = &self.hosts[*at];
             let confirmed = host.confirmed.is_some_and(|at| self.now < at + LEASE);
             host.up && confirmed
         };
-        (0..HOSTS).filter(stands).collect()
+        (0..HOSTS).filter(is_candidate).collect()
     }
 
-    /// How long it takes until some host stands.
-    fn until_one_stands(&mut self) -> Duration {
+    /// Steps until some host is a confirmed candidate and returns the time that took.
+    fn wait_for_candidate(&mut self) -> Duration {
         let begun = self.now;
-        while self.standing().is_empty() {
+        while self.candidates().is_empty() {
             self.step();
-            assert!(self.now < begun + Duration::from_secs(60), "nobody stands");
+            assert!(self.now < begun + Duration::from_secs(60), "no candidate after 60 s");
         }
         self.now - begun
     }
 }
 
-/// Two rounds of greetings and one second, in which nobody stood, a round
-/// until the last is heard to be gone, and a look.
-const VACANCY: Duration = Duration::from_millis(3 * 1_900 + 1_000 + 400);
+/// Longest time without a candidate: two rounds of heartbeats and one second without one, a
+/// round until the other hosts learn that the last one is gone, and a poll.
+const MAX_VACANCY: Duration = Duration::from_millis(3 * 1_900 + 1_000 + 400);
 
 #[test]
-fn the_hosts_with_the_most_room_stand_and_no_others() {
+fn only_the_hosts_with_the_most_capacity_are_candidates() {
     let mut site = Site::start(1);
-    site.play(SETTLED);
-    let standing = site.standing();
-    assert!(standing.len() <= CANDIDATES + 2, "{} stand", standing.len());
-    assert!(standing.len() >= CANDIDATES, "{} stand", standing.len());
-    let least = standing.iter().map(|at| site.hosts[*at].room).min();
-    assert_eq!(least, Some(Room(100)), "one with less room stands");
+    site.run(SETTLED);
+    let candidates = site.candidates();
+    assert!(candidates.len() <= CANDIDATES + 2, "{} candidates", candidates.len());
+    assert!(candidates.len() >= CANDIDATES, "{} candidates", candidates.len());
+    let least_capacity = candidates.iter().map(|at| site.hosts[*at].capacity).min();
+    assert_eq!(least_capacity, Some(Room(100)), "a host with less capacity is a candidate");
 }
 
 #[test]
-fn somebody_stands_soon_after_all_that_stood_are_gone() {
+fn a_host_becomes_a_candidate_soon_after_all_candidates_are_gone() {
     for pending in [false, true] {
         let mut site = Site::start(2);
-        site.play(SETTLED);
+        site.run(SETTLED);
         site.pending = pending;
-        for at in site.standing() {
+        for at in site.candidates() {
             site.hosts[at].up = false;
         }
-        let took = site.until_one_stands();
-        assert!(took <= VACANCY, "nobody stood for {took:?}");
+        let vacant_for = site.wait_for_candidate();
+        assert!(vacant_for <= MAX_VACANCY, "no candidate for {vacant_for:?}");
     }
 }
 
 #[test]
-fn few_stand_while_hosts_come_and_go() {
+fn candidates_stay_few_while_hosts_stop_and_restart() {
     let mut site = Site::start(3);
-    site.play(SETTLED);
+    site.run(SETTLED);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let (mut most, mut gone) = (0, Vec::new());
+    let (mut most_candidates, mut stopped) = (0, Vec::new());
     for step in 0..600 {
         if step % 10 == 0 {
-            // One of those that stand stops, and is back ten seconds later.
-            let standing = site.standing();
-            let at = standing[rng.random_range(0..standing.len())];
+            // One of the candidates stops and starts again ten seconds later.
+            let candidates = site.candidates();
+            let at = candidates[rng.random_range(0..candidates.len())];
             (site.hosts[at].up, site.hosts[at].started) =
                 (false, site.now + Duration::from_secs(10));
-            site.hosts[at].stop();
-            gone.push(at);
+            site.hosts[at].stop_candidacy();
+            stopped.push(at);
         }
-        for at in gone.clone() {
+        for at in stopped.clone() {
             site.hosts[at].up = site.now >= site.hosts[at].started;
         }
         site.step();
-        let standing = site.standing().len();
-        assert!(standing > 0, "nobody stands at {:?}", site.now);
-        most = most.max(standing);
+        let candidates = site.candidates().len();
+        assert!(candidates > 0, "no candidate at {:?}", site.now);
+        most_candidates = most_candidates.max(candidates);
     }
-    // Each that stops is replaced, and stands again before its substitute,
-    // which heard of it, leaves.
-    assert!(most <= CANDIDATES + 8, "{most} stood");
+    // Each candidate that stops is replaced, and is a candidate again before its
+    // replacement has received that and leaves.
+    assert!(most_candidates <= CANDIDATES + 8, "{most_candidates} candidates at once");
 }
 
 #[test]
-fn an_outage_of_the_store_leaves_somebody_standing_at_once() {
+fn a_candidate_is_confirmed_at_once_after_a_store_outage() {
     let mut site = Site::start(4);
-    site.play(SETTLED);
+    site.run(SETTLED);
     site.outage = true;
     site.pending = true;
-    site.play(Duration::from_secs(20));
-    assert!(site.standing().is_empty());
+    site.run(Duration::from_secs(20));
+    assert!(site.candidates().is_empty());
     site.outage = false;
-    let took = site.until_one_stands();
-    assert!(took <= LOOK * 2, "nobody stood for {took:?}");
-    site.play(SETTLED);
-    let standing = site.standing().len();
-    assert!((CANDIDATES..=CANDIDATES + 8).contains(&standing), "{standing} stand later");
+    let vacant_for = site.wait_for_candidate();
+    assert!(vacant_for <= POLL * 2, "no candidate for {vacant_for:?}");
+    site.run(SETTLED);
+    let candidates = site.candidates().len();
+    assert!(
+        (CANDIDATES..=CANDIDATES + 8).contains(&candidates),
+        "{candidates} candidates after the outage"
+    );
 }
 
 #[test]
-fn a_host_that_lost_its_membership_alone_rests_and_returns() {
+fn a_host_that_alone_lost_its_membership_rests_and_is_a_candidate_again() {
     let mut site = Site::start(5);
-    site.play(SETTLED);
-    let at = site.standing()[0];
-    site.hosts[at].cut = true;
-    site.play(LEASE + LOOK * 2);
-    assert!(site.hosts[at].joined.is_none(), "it still stands");
-    site.hosts[at].cut = false;
-    site.play(REST / 2);
-    assert!(!site.standing().contains(&at), "it does not rest");
-    site.play(REST / 2 + Duration::from_secs(10));
-    assert!(site.standing().contains(&at), "it has not returned");
+    site.run(SETTLED);
+    let at = site.candidates()[0];
+    site.hosts[at].disconnected = true;
+    site.run(LEASE + POLL * 2);
+    assert!(site.hosts[at].joined.is_none(), "it is still a candidate");
+    site.hosts[at].disconnected = false;
+    site.run(REST / 2);
+    assert!(!site.candidates().contains(&at), "it is a candidate again before its rest has ended");
+    site.run(REST / 2 + Duration::from_secs(10));
+    assert!(site.candidates().contains(&at), "it is not a candidate again after its rest");
 }
--- a/crates/core/tests/claims_model.rs
+++ b/crates/core/tests/claims_model.rs
@@ -1,16 +1,16 @@
-//! Promises: a call that may not be repeated runs at most once, and a
-//! refusal saying "not run" is true.
+//! Invariants: a call that may not be repeated runs at most once, and a call
+//! refused as "not run" has not run.
 //!
 //! Stateful fuzzing of the claim protocol: three routers, each with its
-//! own [`Claims`] read from one shared log at its own pace, make attempts
-//! at a few idempotency keys. Appends fail during outages, or take effect
-//! with their answer lost; routers crash after sending and before the
+//! own [`Claims`] read from one shared log at its own speed, make attempts
+//! with a few idempotency keys. Appends fail during outages, or take effect
+//! although their answer is lost; routers crash after sending and before the
 //! outcome is recorded; callers retry on other routers; routers restart
-//! with nothing; the log drops old records. The oracle is plain: per key,
-//! the calls actually sent. After every step no key has been sent twice
+//! without state; the log drops old records. The oracle records the calls
+//! actually sent per key. After every step no key has been sent twice
 //! while the log still kept a record of its first call, no attempt answered
 //! "not run" was sent, every replayed answer is the answer of a call sent,
-//! and a key that every claimant gave up unsent is free for the next.
+//! and a key that every claimant abandoned unsent can be claimed again.
 
 #[path = "support/fuzz.rs"]
 mod fuzz;
@@ -27,16 +27,16 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// Router `r` claims key `k`; `fault` 0: fine, 1: outage, 2: answer lost,
-    /// 3: answer lost and carried out only after the abandon.
+    /// Router `r` claims key `k`; `fault` 0: none, 1: outage, 2: answer lost,
+    /// 3: answer lost and claim appended only after the abandon.
     Begin(usize, usize, u8),
-    /// The attempt `i` (modulo the attempts) reads the log to its end and acts.
+    /// Attempt `i` (modulo the attempts) reads the log to its end and acts on the decision.
     Decide(usize),
-    /// The attempt `i` that sent records its outcome, or crashes first.
+    /// Attempt `i`, if it was sent, records its outcome, or its router crashes first.
     Finish(usize, bool),
     /// Router `r` reads up to `n` more records in the background.
     Read(usize, usize),
-    /// Router `r` starts again with nothing; its attempts are gone.
+    /// Router `r` restarts without state and loses its attempts.
     Restart(usize),
     /// The log drops its `n` oldest records.
     Expire(usize),
@@ -46,7 +46,7 @@
 enum Stage {
     Claimed(Offset),
     Sent,
-    Over,
+    Ended,
 }
 
 #[derive(Debug, Clone)]
@@ -56,15 +56,15 @@
     owner: String,
     stage: Stage,
     not_run: bool,
-    /// It left no claim behind that could hold the key.
-    freed: bool,
+    /// Whether it left no claim behind that could block the key.
+    releases_key: bool,
 }
 
 #[derive(Default)]
 struct World {
     log: Vec<ClaimRecord>,
     /// Records before this offset have expired.
-    base: usize,
+    first_kept: usize,
     routers: Vec<Claims>,
     attempts: Vec<Attempt>,
     /// Calls sent by key, with the offset of their last record.
@@ -73,11 +73,11 @@
 }
 
 impl World {
-    fn read(&mut self, router: usize, upto: usize) {
+    fn read(&mut self, router: usize, end: usize) {
         let claims = &mut self.routers[router];
-        claims.forget_before(Offset(self.base as u64));
+        claims.forget_before(Offset(self.first_kept as u64));
         let from = claims.next().0 as usize;
-        for offset in from..upto.min(self.log.len()) {
+        for offset in from..end.min(self.log.len()) {
             claims.apply(Offset(offset as u64), &self.log[offset]);
         }
     }
@@ -134,7 +134,7 @@
                 let claim = ClaimRecord::Claim { key: key.clone(), owner: owner.clone() };
                 let stage = match fault {
                     0 => Stage::Claimed(world.append(claim)),
-                    1 => Stage::Over,
+                    1 => Stage::Ended,
                     _ => {
                         let abandon =
                             ClaimRecord::Abandon { key: key.clone(), owner: owner.clone() };
@@ -144,11 +144,18 @@
                         };
                         world.append(first);
                         world.append(second);
-                        Stage::Over
+                        Stage::Ended
                     }
                 };
-                let not_run = stage == Stage::Over;
-                world.attempts.push(Attempt { router, key, owner, stage, not_run, freed: not_run });
+                let not_run = stage == Stage::Ended;
+                world.attempts.push(Attempt {
+                    router,
+                    key,
+                    owner,
+                    stage,
+                    not_run,
+                    releases_key: not_run,
+                });
             }
             Step::Decide(index) if !world.attempts.is_empty() => {
                 let index = index % world.attempts.len();
@@ -157,9 +164,9 @@
                     return world;
                 };
                 world.read(router, world.log.len());
-                // The router's rule: a claim not acted on soon is left alone.
-                if (claimed.0 as usize) < world.base {
-                    world.attempts[index].stage = Stage::Over;
+                // As in the router, a claim that was not acted on in time is not abandoned.
+                if (claimed.0 as usize) < world.first_kept {
+                    world.attempts[index].stage = Stage::Ended;
                     world.attempts[index].not_run = true;
                     return world;
                 }
@@ -169,21 +176,25 @@
                     Decision::Send => {
                         attempt.stage = Stage::Sent;
                         let answer = Answer { status: 200, kind: None, body: owner.clone().into() };
-                        let base = world.base;
+                        let first_kept = world.first_kept;
                         let sends = world.sent.entry(key.clone()).or_default();
-                        let kept: Vec<_> = sends.iter().filter(|(_, last)| *last >= base).collect();
-                        assert!(kept.is_empty(), "{key} sent again although kept: {kept:?}");
+                        let kept: Vec<_> =
+                            sends.iter().filter(|(_, last)| *last >= first_kept).collect();
+                        assert!(
+                            kept.is_empty(),
+                            "{key} sent again while the log keeps a record of the first call: {kept:?}"
+                        );
                         sends.push((answer, claimed.0 as usize));
                     }
                     Decision::Done(answer) => {
-                        attempt.stage = Stage::Over;
+                        attempt.stage = Stage::Ended;
                         world.replays.push((key, answer));
                     }
-                    Decision::Held(_) => attempt.stage = Stage::Over,
+                    Decision::Held(_) => attempt.stage = Stage::Ended,
                     Decision::Unseen => {
-                        attempt.stage = Stage::Over;
+                        attempt.stage = Stage::Ended;
                         attempt.not_run = true;
-                        attempt.freed = true;
+                        attempt.releases_key = true;
                         world.append(ClaimRecord::Abandon { key, owner });
                     }
                 }
@@ -191,7 +202,7 @@
             Step::Finish(index, crash) if !world.attempts.is_empty() => {
                 let index = index % world.attempts.len();
                 if world.attempts[index].stage == Stage::Sent {
-                    world.attempts[index].stage = Stage::Over;
+                    world.attempts[index].stage = Stage::Ended;
                     let Attempt { key, owner, .. } = world.attempts[index].clone();
                     if !crash {
                         let answer = Answer { status: 200, kind: None, body: owner.clone().into() };
@@ -207,15 +218,17 @@
                 }
             }
             Step::Read(router, count) => {
-                let upto = world.routers[router].next().0 as usize + count;
-                world.read(router, upto);
+                let end = world.routers[router].next().0 as usize + count;
+                world.read(router, end);
             }
             Step::Restart(router) => {
                 world.routers[router] = Claims::new();
-                let gone = world.attempts.iter_mut().filter(|a| a.router == router);
-                gone.for_each(|a| a.stage = Stage::Over);
+                let lost = world.attempts.iter_mut().filter(|a| a.router == router);
+                lost.for_each(|a| a.stage = Stage::Ended);
+            }
+            Step::Expire(count) => {
+                world.first_kept = (world.first_kept + count).min(world.log.len())
             }
-            Step::Expire(count) => world.base = (world.base + count).min(world.log.len()),
             Step::Decide(_) | Step::Finish(..) => {}
         }
         world
@@ -226,7 +239,7 @@
             let sent = world.sent.get(&attempt.key).into_iter().flatten();
             assert!(
                 sent.into_iter().all(|(a, _)| a.body != attempt.owner.as_bytes()),
-                "{} said not run but sent",
+                "{} was answered as not run but was sent",
                 attempt.owner
             );
         }
@@ -236,15 +249,15 @@
         }
         for key in (0..KEYS).map(|k| format!("k{k}")) {
             let mut claimants = world.attempts.iter().filter(|a| a.key == key);
-            if claimants.all(|a| a.freed) {
-                assert_free(world, &key);
+            if claimants.all(|a| a.releases_key) {
+                assert_claimable(world, &key);
             }
         }
     }
 }
 
 /// Checks that a new claim for `key` would be sent.
-fn assert_free(world: &World, key: &str) {
+fn assert_claimable(world: &World, key: &str) {
     let mut claims = Claims::new();
     let mut log = world.log.clone();
     log.push(ClaimRecord::Claim { key: key.into(), owner: "next".into() });
@@ -252,17 +265,21 @@
         claims.apply(Offset(offset as u64), record);
     }
     let claimed = Offset(log.len() as u64 - 1);
-    assert_eq!(claims.decide(key, "next", claimed), Decision::Send, "{key} was given up unsent");
+    assert_eq!(
+        claims.decide(key, "next", claimed),
+        Decision::Send,
+        "{key} was abandoned unsent but cannot be claimed"
+    );
 }
 
 prop_state_machine! {
     #![proptest_config(fuzz::config(0x0c1a))]
 
     #[test]
-    fn calls_run_at_most_once_and_not_run_is_true(sequential 1..60 => ProtocolTest);
+    fn calls_run_at_most_once_and_not_run_is_truthful(sequential 1..60 => ProtocolTest);
 }
 
-/// Runs `steps` and checks the world after each.
+/// Runs `steps` and checks the invariants after each.
 fn replay(steps: &[Step]) {
     let mut world = ProtocolTest::init_test(&());
     for step in steps {
@@ -271,10 +288,10 @@
     }
 }
 
-/// The second claimant reads beyond its own claim, since the first one's claim
+/// The second claimant must read beyond its own claim, since the first one's claim
 /// may have expired before its outcome.
 #[test]
-fn outcome_beyond_the_own_claim_is_seen() {
+fn outcome_after_the_own_claim_is_read() {
     replay(&[
         Step::Begin(0, 2, 0),
         Step::Decide(0),
@@ -285,10 +302,10 @@
     ]);
 }
 
-/// Abandoning an expired claim would free the key only at routers that still
-/// remember that claim.
+/// Abandoning an expired claim would free the key only on routers that still
+/// have that claim in memory.
 #[test]
-fn stale_claim_is_left_alone() {
+fn expired_claim_is_not_abandoned() {
     replay(&[
         Step::Begin(0, 0, 0),
         Step::Begin(2, 0, 0),
--- a/crates/core/tests/registry_model.rs
+++ b/crates/core/tests/registry_model.rs
@@ -1,7 +1,6 @@
-//! Fuzzing of the registry against a simple oracle: statements arrive late,
-//! twice and out of order, upstreams start again under the id they had,
-//! somebody else writes over their records, and entries vanish with and
-//! without an outage.
+//! Fuzzing of the registry against a simple oracle: statements of upstreams arrive late,
+//! twice and out of order, upstreams restart under the same id, other writers
+//! overwrite their records, and entries disappear with and without an outage of the store.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,18 +10,18 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The upstream states something new.
+    /// The upstream makes a new statement.
     State { who: usize, leaving: bool },
-    /// An old statement of it arrives again.
-    Again { who: usize, back: u64 },
-    /// It starts again under its id, and says so.
-    Reborn { who: usize, leaving: bool },
-    /// Somebody else writes over its record.
-    Spoilt { who: usize },
-    /// Its entry is gone.
-    Gone { who: usize },
+    /// The `back`th last statement arrives again.
+    Repeated { who: usize, back: u64 },
+    /// The upstream restarts under its id and makes a statement.
+    Restarted { who: usize, leaving: bool },
+    /// Another writer overwrites its record.
+    Overwritten { who: usize },
+    /// Its entry has disappeared from the store.
+    Disappeared { who: usize },
     /// The store answers again after an outage.
-    Returned,
+    StoreRecovered,
     /// Time passes.
     Wait { ms: u64 },
 }
@@ -30,18 +29,18 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => (0..3usize, any::<bool>()).prop_map(|(who, leaving)| Step::State { who, leaving }),
-        3 => (0..3usize, 1..8u64).prop_map(|(who, back)| Step::Again { who, back }),
-        2 => (0..3usize, any::<bool>()).prop_map(|(who, leaving)| Step::Reborn { who, leaving }),
-        1 => (0..3usize).prop_map(|who| Step::Spoilt { who }),
-        2 => (0..3usize).prop_map(|who| Step::Gone { who }),
-        1 => Just(Step::Returned),
+        3 => (0..3usize, 1..8u64).prop_map(|(who, back)| Step::Repeated { who, back }),
+        2 => (0..3usize, any::<bool>()).prop_map(|(who, leaving)| Step::Restarted { who, leaving }),
+        1 => (0..3usize).prop_map(|who| Step::Overwritten { who }),
+        2 => (0..3usize).prop_map(|who| Step::Disappeared { who }),
+        1 => Just(Step::StoreRecovered),
         2 => (1..3_000u64).prop_map(|ms| Step::Wait { ms }),
     ];
     proptest::collection::vec(step, 1..40)
 }
 
-fn entry(who: usize, said: Said) -> Entry {
-    let Said { born, beat, leaving } = said;
+fn entry(who: usize, statement: Statement) -> Entry {
+    let Statement { born, beat, leaving } = statement;
     Entry {
         life: Life { id: id(who), born: Born(born) },
         service: "s".into(),
@@ -58,93 +57,99 @@
     UpstreamId(format!("i-{who}"))
 }
 
-/// One statement.
+/// A statement of an upstream.
 #[derive(Debug, Clone, Copy)]
-struct Said {
-    /// When the life that made it started.
+struct Statement {
+    /// Start time of the incarnation that made it.
     born: u64,
-    /// Its number in that life.
+    /// Its sequence number within that incarnation.
     beat: u64,
     leaving: bool,
 }
 
-/// What must hold of one upstream.
+/// Expected state of one upstream.
 #[derive(Debug, Clone, Default)]
-struct Truth {
-    /// Statements made, by all of its lives.
-    said: Vec<Said>,
-    /// It has once said that it is leaving, in a statement that was taken in.
+struct Expected {
+    /// Statements of all its incarnations.
+    statements: Vec<Statement>,
+    /// Whether an accepted statement has said that it is leaving.
     leaving: bool,
-    /// Until when it must be kept; gone once that has passed.
-    gone: Option<Duration>,
+    /// Until when it must stay listed after its entry disappeared.
+    listed_until: Option<Duration>,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn an_upstream_that_leaves_or_has_left_never_comes_back_by_an_old_statement(steps in steps()) {
+    fn a_leaving_or_removed_upstream_is_never_restored_by_an_old_statement(steps in steps()) {
         let mut registry = Registry::new();
-        let mut truths: HashMap<usize, Truth> = HashMap::new();
-        let (mut now, mut returned) = (Duration::from_secs(100), None);
+        let mut all_expected: HashMap<usize, Expected> = HashMap::new();
+        let (mut now, mut recovered_at) = (Duration::from_secs(100), None);
         for step in steps {
             match step {
                 Step::State { who, leaving } => {
-                    let truth = truths.entry(who).or_default();
-                    let (born, beat) = truth.said.last().map_or((1, 0), |s| (s.born, s.beat));
-                    let said = Said { born, beat: beat + 1, leaving };
-                    truth.said.push(said);
-                    registry.state(entry(who, said), now);
-                    truth.leaving |= leaving && truth.gone.is_none_or(|until| now < until);
-                    if truth.gone.is_some_and(|until| now >= until) {
-                        // It had left; a new statement lists it afresh.
-                        truth.leaving = leaving;
+                    let expected = all_expected.entry(who).or_default();
+                    let (born, beat) =
+                        expected.statements.last().map_or((1, 0), |s| (s.born, s.beat));
+                    let statement = Statement { born, beat: beat + 1, leaving };
+                    expected.statements.push(statement);
+                    registry.state(entry(who, statement), now);
+                    expected.leaving |=
+                        leaving && expected.listed_until.is_none_or(|until| now < until);
+                    if expected.listed_until.is_some_and(|until| now >= until) {
+                        // It was no longer listed; a new statement lists it again.
+                        expected.leaving = leaving;
                     }
-                    truth.gone = None;
+                    expected.listed_until = None;
                 }
-                Step::Reborn { who, leaving } => {
-                    let truth = truths.entry(who).or_default();
-                    let born = truth.said.last().map_or(1, |s| s.born + 1);
-                    let said = Said { born, beat: 1, leaving };
-                    truth.said.push(said);
-                    registry.state(entry(who, said), now);
-                    (truth.leaving, truth.gone) = (leaving, None);
+                Step::Restarted { who, leaving } => {
+                    let expected = all_expected.entry(who).or_default();
+                    let born = expected.statements.last().map_or(1, |s| s.born + 1);
+                    let statement = Statement { born, beat: 1, leaving };
+                    expected.statements.push(statement);
+                    registry.state(entry(who, statement), now);
+                    (expected.leaving, expected.listed_until) = (leaving, None);
                 }
-                Step::Again { who, back } => {
-                    let truth = truths.entry(who).or_default();
-                    let at = (truth.said.len() as u64).checked_sub(back);
-                    if let Some(said) = at.map(|at| truth.said[at as usize]) {
-                        registry.state(entry(who, said), now);
-                        // The newest one shows that it is there after all.
-                        let shows = back == 1 && truth.gone.is_some_and(|until| now < until);
-                        truth.gone = truth.gone.filter(|_| !shows);
+                Step::Repeated { who, back } => {
+                    let expected = all_expected.entry(who).or_default();
+                    let at = (expected.statements.len() as u64).checked_sub(back);
+                    if let Some(statement) = at.map(|at| expected.statements[at as usize]) {
+                        registry.state(entry(who, statement), now);
+                        // Its newest statement shows that it is still present.
+                        let shows_presence =
+                            back == 1 && expected.listed_until.is_some_and(|until| now < until);
+                        expected.listed_until = expected.listed_until.filter(|_| !shows_presence);
                     }
                 }
-                Step::Spoilt { who } => {
-                    let truth = truths.entry(who).or_default();
-                    truth.gone = Some(now);
+                Step::Overwritten { who } => {
+                    let expected = all_expected.entry(who).or_default();
+                    expected.listed_until = Some(now);
                     registry.spoil(&id(who), now);
                 }
-                Step::Gone { who } => {
-                    let truth = truths.entry(who).or_default();
-                    let grace = returned.map(|at| at + RETURN_TIME).filter(|until| now < *until);
-                    let kept = grace.filter(|_| !truth.leaving);
-                    truth.gone = Some(truth.gone.filter(|_| kept.is_some()).or(kept).unwrap_or(now));
+                Step::Disappeared { who } => {
+                    let expected = all_expected.entry(who).or_default();
+                    let grace = recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+                    let kept = grace.filter(|_| !expected.leaving);
+                    expected.listed_until = Some(
+                        expected.listed_until.filter(|_| kept.is_some()).or(kept).unwrap_or(now),
+                    );
                     registry.unlist(&id(who), now);
                 }
-                Step::Returned => {
-                    returned = Some(now);
+                Step::StoreRecovered => {
+                    recovered_at = Some(now);
                     registry.returned(now);
                 }
                 Step::Wait { ms } => now += Duration::from_millis(ms),
             }
             registry.expire(now);
-            for (who, truth) in &truths {
+            for (who, expected) in &all_expected {
                 let listed = registry.get(&id(*who));
-                let there = !truth.said.is_empty() && truth.gone.is_none_or(|until| now < until);
-                prop_assert_eq!(listed.is_some(), there, "upstream {} at {:?}", who, now);
+                let must_be_listed = !expected.statements.is_empty()
+                    && expected.listed_until.is_none_or(|until| now < until);
+                prop_assert_eq!(listed.is_some(), must_be_listed, "upstream {} at {:?}", who, now);
                 if let Some(listed) = listed {
-                    prop_assert_eq!(listed.leaving, truth.leaving, "upstream {}", who);
+                    prop_assert_eq!(listed.leaving, expected.leaving, "upstream {}", who);
                 }
             }
         }
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -1,10 +1,9 @@
-//! Promise: one host of 10 Mbit/s brings the engines of the largest systems to
-//! newly named weights in time, and its link has room for callers meanwhile.
+//! Invariant: one host with a link of 10 Mbit/s changes the engines of the largest systems
+//! to a newly announced weights version in time, and leaves capacity on its link for callers.
 //!
-//! Replays of a version named before 9 to 410 hosts and 12 to 870 engines,
-//! with attempts that fail, with versions that follow each other, and with a
-//! holder that is lost as the version is named. The system on which this went
-//! wrong had 295 hosts.
+//! Simulates the announcement of a version with 9 to 410 hosts and 12 to 870 engines,
+//! with failing attempts, with versions in quick succession, and with a leader that is
+//! lost as the version is announced. The system on which this failed had 295 hosts.
 
 #[path = "rollout_load/model.rs"]
 mod model;
@@ -13,30 +12,30 @@
 
 use marjoram_core::pace::{CALL_BYTES, CALLS};
 use marjoram_core::spread::{Host, plan};
-use model::{Outcome, Play, play};
+use model::{Outcome, Simulation, simulate};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
 
-/// Bytes a second of a link of 10 Mbit/s, and the shares of it.
+/// Bytes per second of a link of 10 Mbit/s, and the shares of it for messages and for calls.
 const LINK_BYTES: f64 = 1.25e6;
-const MESSAGES: f64 = LINK_BYTES / 20.0;
+const MESSAGE_RATE: f64 = LINK_BYTES / 20.0;
 const CALL_RATE: f64 = LINK_BYTES * 0.3;
 
-/// Time to finish running requests: usual ones, and long streams.
+/// Seconds to finish running requests: usual ones, and long streams.
 const SHORT: f64 = 0.35;
 const LONG: f64 = 3.0;
 
-/// Longest that is played.
-const LONGEST: f64 = 40.0;
+/// Longest simulated time, in seconds.
+const MAX_TIME: f64 = 40.0;
 
-fn of(hosts: usize, engines: usize, finish: f64) -> Play {
-    Play { hosts, engines, finish, named: vec![0.0], failing: 0.0 }
+fn case(hosts: usize, engines: usize, finish: f64) -> Simulation {
+    Simulation { hosts, engines, finish, announced_at: vec![0.0], failing: 0.0 }
 }
 
-fn run(case: &Play) -> Outcome {
-    let outcome = play(case, LONGEST);
-    println!("{case:?}: {outcome:?}");
+fn run(simulation: &Simulation) -> Outcome {
+    let outcome = simulate(simulation, MAX_TIME);
+    println!("{simulation:?}: {outcome:?}");
     outcome
 }
 
@@ -48,10 +47,12 @@
 #[test_case(295, 130, LONG)]
 #[test_case(410, 870, SHORT)]
 #[test_case(410, 870, LONG)]
-fn messages_stay_within_a_twentieth_of_the_link(hosts: usize, engines: usize, finish: f64) {
-    for (failing, named) in [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])] {
-        let outcome = run(&Play { failing, named, ..of(hosts, engines, finish) });
-        let bound = MESSAGES + outcome.largest;
+fn messages_use_at_most_a_twentieth_of_the_link(hosts: usize, engines: usize, finish: f64) {
+    for (failing, announced_at) in
+        [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])]
+    {
+        let outcome = run(&Simulation { failing, announced_at, ..case(hosts, engines, finish) });
+        let bound = MESSAGE_RATE + outcome.largest;
         assert!(outcome.message_rate <= bound, "{} bytes in a second", outcome.message_rate);
     }
 }
@@ -64,9 +65,11 @@
 #[test_case(295, 130, LONG)]
 #[test_case(410, 870, SHORT)]
 #[test_case(410, 870, LONG)]
-fn calls_stay_within_three_tenths_of_the_link(hosts: usize, engines: usize, finish: f64) {
-    for (failing, named) in [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])] {
-        let outcome = run(&Play { failing, named, ..of(hosts, engines, finish) });
+fn calls_use_at_most_three_tenths_of_the_link(hosts: usize, engines: usize, finish: f64) {
+    for (failing, announced_at) in
+        [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])]
+    {
+        let outcome = run(&Simulation { failing, announced_at, ..case(hosts, engines, finish) });
         let bound = CALL_RATE + CALLS as f64 * CALL_BYTES;
         assert!(outcome.call_rate <= bound, "{} bytes in a second", outcome.call_rate);
     }
@@ -81,7 +84,7 @@
 #[test_case(295, 130, 0.1, 10.0)]
 #[test_case(410, 870, 0.1, 10.0)]
 fn the_last_engine_changes_in_time(hosts: usize, engines: usize, failing: f64, bound: f64) {
-    let outcome = run(&Play { failing, ..of(hosts, engines, SHORT) });
+    let outcome = run(&Simulation { failing, ..case(hosts, engines, SHORT) });
     assert!(outcome.changed < bound, "{} s", outcome.changed);
 }
 
@@ -89,78 +92,79 @@
 #[test_case(70, 56, 6.5)]
 #[test_case(295, 130, 10.0)]
 #[test_case(410, 870, 10.0)]
-fn no_engine_lags_while_a_version_is_named_every_two_seconds(
+fn no_engine_lags_while_a_version_is_announced_every_two_seconds(
     hosts: usize,
     engines: usize,
     bound: f64,
 ) {
-    let named = (0..6).map(|n| f64::from(n) * 2.0).collect();
-    let outcome = run(&Play { named, ..of(hosts, engines, SHORT) });
-    assert!(outcome.lag < bound, "lagged {} s", outcome.lag);
+    let announced_at = (0..6).map(|n| f64::from(n) * 2.0).collect();
+    let outcome = run(&Simulation { announced_at, ..case(hosts, engines, SHORT) });
+    assert!(outcome.lag < bound, "{} s on a replaced version", outcome.lag);
 }
 
-/// The lease of a holder that is lost just after a renewal, a renewal of the
-/// next, the bound on turns, and the answer that confirms the duty.
-const TAKEN_OVER: f64 = 2.7 + 2.7 / 4.0 + 3.0 + 0.01;
+/// Longest time until another leader takes over: the lease of a leader that is lost just after
+/// a renewal, a renewal interval of the next one, the bound on turns, and the answer that
+/// confirms its leadership.
+const TAKEOVER: f64 = 2.7 + 2.7 / 4.0 + 3.0 + 0.01;
 
 #[test_case(295, 130)]
 #[test_case(410, 870)]
-fn a_holder_that_is_lost_as_a_version_is_named_leaves_no_engine_behind(
+fn a_leader_lost_as_a_version_is_announced_leaves_no_engine_on_the_old_one(
     hosts: usize,
     engines: usize,
 ) {
-    let outcome = run(&of(hosts, engines, SHORT));
-    let all = TAKEN_OVER + outcome.changed;
-    println!("taken over after {TAKEN_OVER} s, changed after {all} s");
+    let outcome = run(&case(hosts, engines, SHORT));
+    let all = TAKEOVER + outcome.changed;
+    println!("taken over after {TAKEOVER} s, changed after {all} s");
     assert!(all < 14.0, "{all} s");
 }
 
-/// Loss of datagrams, and the time between two tellings at first.
+/// Share of datagrams lost.
 const LOSS: f64 = 0.05;
 
 #[test_case(70)]
 #[test_case(295)]
 #[test_case(410)]
-fn nearly_all_hosts_hear_of_a_change_before_the_order_though_datagrams_are_lost(hosts: usize) {
+fn nearly_all_hosts_receive_a_change_before_the_order_despite_datagram_loss(hosts: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(0x5eed);
     let others: Vec<u64> = (1..hosts).map(|_| rng.random()).collect();
     let known: Vec<Host> = others.iter().map(|name| Host { name: *name, heard: true }).collect();
-    let (plays, mut heard) = (200, 0);
-    for _ in 0..plays {
-        let mut told = vec![false; others.len()];
-        // Told twice within a tenth of a second, through other relays.
+    let (rounds, mut receipts) = (200, 0);
+    for _ in 0..rounds {
+        let mut received = vec![false; others.len()];
+        // Sent twice within a tenth of a second, through different relays.
         for _ in 0..2 {
             for leg in plan(&known, rng.random()) {
                 if rng.random_bool(LOSS) {
                     continue;
                 }
-                told[leg.to] = true;
+                received[leg.to] = true;
                 for (at, host) in others.iter().enumerate() {
-                    let passed = leg.slice.is_some_and(|slice| slice.holds(*host));
-                    told[at] |= passed && !rng.random_bool(LOSS);
+                    let forwarded = leg.slice.is_some_and(|slice| slice.holds(*host));
+                    received[at] |= forwarded && !rng.random_bool(LOSS);
                 }
             }
         }
-        heard += told.iter().filter(|told| **told).count();
+        receipts += received.iter().filter(|received| **received).count();
     }
-    let share = heard as f64 / (plays * others.len()) as f64;
-    println!("{hosts} hosts: {share:.4} hear of it");
-    // One leg and one pass on, twice: each telling reaches 0.95 x 0.95.
+    let share = receipts as f64 / (rounds * others.len()) as f64;
+    println!("{hosts} hosts: {share:.4} receive it");
+    // One leg and one forward, twice: each transmission reaches 0.95 x 0.95.
     let missed = 1.0 - (1.0 - LOSS) * (1.0 - LOSS);
-    assert!(share > 1.0 - missed * missed - 0.005, "{share} hear of it");
+    assert!(share > 1.0 - missed * missed - 0.005, "{share} receive it");
 }
 
-/// What the first messages did not reach hears within the repeat.
+/// Hosts that the first messages did not reach receive the change with a repeat.
 #[test]
-fn what_is_closed_is_told_again_within_a_second() {
+fn a_closed_engine_is_announced_again_within_a_second() {
     use marjoram_core::announce::{Announcements, Change};
     let ms = Duration::from_millis;
-    let mut told = Announcements::default();
+    let mut announcements = Announcements::default();
     let closed = Change::Closed { model: "m".into(), version: 2, span: ms(4_500) };
-    told.put(1, closed, ms(0));
+    announcements.put(1, closed, ms(0));
     let mut times = Vec::new();
     for at in (0..4_000).step_by(100).map(ms) {
-        times.extend((!told.next(at).is_empty()).then_some(at));
+        times.extend((!announcements.next(at).is_empty()).then_some(at));
     }
     assert!(times.windows(2).all(|pair| pair[1] - pair[0] <= ms(1_000)), "{times:?}");
     assert!(times[1] <= ms(100) && times.len() >= 5, "{times:?}");
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -1,5 +1,5 @@
-//! One host that orders engines to change, on a clock of its own: what it
-//! sends, and when engines have changed.
+//! Simulation, on a virtual clock, of one host that orders engines to change their weights: the
+//! messages and calls it sends, and when engines have changed.
 
 use std::time::Duration;
 
@@ -10,61 +10,63 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The link of the host that orders.
+/// Link of the ordering host.
 pub const LINK: LinkSpeed = LinkSpeed(10.0);
 
-/// Time to load, longer in proportion while more than a fifth load.
+/// Seconds to load, longer in proportion while more than a fifth of the engines load.
 const LOAD: f64 = 0.57;
 
-/// Time for a call that is answered, and for one that is not.
+/// Seconds until a call is answered, and until an unanswered call fails.
 const CALL: f64 = 0.01;
 const NO_ANSWER: f64 = 0.3;
 
-/// Between the announcement and the order; between the order and the first
-/// question; between looks; and the longest wait for the announcement.
+/// Seconds between the announcement and the order, between the order and the first question,
+/// and between polls, and the longest wait for the announcement to be sent.
 const ORDER_DELAY: f64 = 0.12;
 const FIRST_REPORT: f64 = 0.65;
-const LOOK: f64 = 0.05;
-const TOLD: f64 = 1.0;
+const POLL: f64 = 0.05;
+const ANNOUNCE_TIMEOUT: f64 = 1.0;
 
-/// How long a message gathers what is told at nearly the same time.
-const GATHER: f64 = 0.015;
+/// Seconds for which a message collects changes announced at nearly the same time.
+const COLLECT: f64 = 0.015;
 
-/// For how long an engine is told to be closed.
+/// How long an engine is announced as closed.
 const CLOSED: Duration = Duration::from_millis(4_500);
 
-/// Pause after a failed attempt, doubled for each further one, no more often
-/// than so.
+/// Pause in seconds after a failed attempt, doubled for each further one, and the largest number
+/// of doublings.
 const ORDER_PAUSE: f64 = 0.4;
 const ORDER_DOUBLINGS: u32 = 3;
 
-/// Bytes of an engine in a message, of a group of them, and of all else.
-const TOLD_BYTES: usize = 9;
+/// Bytes per engine in a message, per group of engines, and of the rest of the message, and
+/// bytes of headers per datagram.
+const ENGINE_BYTES: usize = 9;
 const GROUP_BYTES: usize = 12;
 const MESSAGE_BYTES: usize = 32;
 const DATAGRAM_HEADERS: usize = 28;
 
 const STEP: f64 = 0.005;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Play {
+pub struct Simulation {
     pub hosts: usize,
     pub engines: usize,
     /// Time to finish running requests.
     pub finish: f64,
-    /// When versions 2 and on are named.
-    pub named: Vec<f64>,
-    /// Share of the attempts that fail: half bring no report, half no order.
+    /// When version 2 and the following ones are announced.
+    pub announced_at: Vec<f64>,
+    /// Share of the attempts that fail: half get no answer to the report call, half none to the
+    /// order.
     pub failing: f64,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// When each engine had changed to the newest version last.
+    /// When the last engine had changed to the newest version.
     pub changed: f64,
-    /// Longest that an engine stayed on a version after it was replaced.
+    /// Longest time that an engine stayed on a version after it was replaced.
     pub lag: f64,
     /// Most bytes of messages in a second, and bytes of the largest message.
     pub message_rate: f64,
@@ -76,38 +78,38 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Step {
     Idle,
-    AskFirst,
-    /// Waits since then until others have been told.
+    FirstReport,
+    /// Waiting since this time until the other hosts have been notified.
     Announced(f64),
     Delayed(f64),
     Order,
-    /// The next question is due then.
+    /// Waiting until this time for the next question.
     Waiting(f64),
     Question,
 }
 
 struct Engine {
     step: Step,
-    /// When the call under way began, or is to begin.
+    /// Start time, possibly in the future, of the current call.
     call: Option<f64>,
     failures: u32,
-    /// This attempt's report, or order, gets no answer.
+    /// Whether this attempt's report call, and whether its order, gets no answer.
     fails: (bool, bool),
     idle: u32,
-    /// What is left of finishing and loading.
+    /// Seconds left of finishing and of loading.
     finishing: f64,
     loading: Option<f64>,
     served: u64,
 }
 
 struct Model {
-    play: Play,
+    simulation: Simulation,
     now: f64,
     engines: Vec<Engine>,
-    seen: Vec<rollout::Engine>,
-    told: Announcements,
-    under_way: usize,
-    paced: Calls,
+    known: Vec<rollout::Engine>,
+    announcements: Announcements,
+    active_calls: usize,
+    call_pacer: Calls,
     calls: Vec<(f64, f64)>,
     messages: Vec<(f64, f64)>,
     rng: ChaCha8Rng,
@@ -117,28 +119,28 @@
     Duration::from_secs_f64(secs)
 }
 
-/// Plays until all engines serve the newest version, or `longest`.
-pub fn play(play: &Play, longest: f64) -> Outcome {
-    let mut model = Model::new(play.clone());
+/// Simulates until all engines serve the newest version, for `max_time` seconds at most.
+pub fn simulate(simulation: &Simulation, max_time: f64) -> Outcome {
+    let mut model = Model::new(simulation.clone());
     let (mut named, mut outcome) = (Named::new(), Outcome::default());
-    let (mut look, mut message) = (0.0, 0.0);
-    let newest = play.named.len() as u64 + 1;
-    while model.now < longest {
+    let (mut poll, mut message) = (0.0, 0.0);
+    let newest = simulation.announced_at.len() as u64 + 1;
+    while model.now < max_time {
         let now = model.now;
-        for (version, at) in play.named.iter().enumerate() {
+        for (version, at) in simulation.announced_at.iter().enumerate() {
             if now >= *at {
                 named.name(version as u64 + 2, secs(now));
             }
         }
-        if let Some(version) = named.newest().filter(|_| now >= look) {
-            model.look(version);
-            look = now + LOOK;
+        if let Some(version) = named.newest().filter(|_| now >= poll) {
+            model.poll(version);
+            poll = now + POLL;
         }
         if now >= message {
-            message = model.tell(now);
+            message = model.send_message(now);
         }
         model.load();
-        (0..play.engines).for_each(|engine| model.step(engine));
+        (0..simulation.engines).for_each(|engine| model.step(engine));
         let lags = model.engines.iter().filter_map(|e| named.replaced(e.served, secs(now)));
         outcome.lag = lags.map(|lag| lag.as_secs_f64()).fold(outcome.lag, f64::max);
         if model.engines.iter().all(|e| e.served == newest) {
@@ -147,28 +149,28 @@
         model.now += STEP;
     }
     outcome.changed = model.now;
-    outcome.message_rate = most_in_a_second(&model.messages);
+    outcome.message_rate = max_per_second(&model.messages);
     outcome.largest = model.messages.iter().map(|(_, bytes)| *bytes).fold(0.0, f64::max);
-    outcome.call_rate = most_in_a_second(&model.calls);
+    outcome.call_rate = max_per_second(&model.calls);
     outcome
 }
 
-/// Most that any second holds.
-fn most_in_a_second(sent: &[(f64, f64)]) -> f64 {
-    let (mut first, mut sum, mut most) = (0, 0.0, 0.0f64);
+/// Largest sum within any one second.
+fn max_per_second(sent: &[(f64, f64)]) -> f64 {
+    let (mut first, mut sum, mut max) = (0, 0.0, 0.0f64);
     for (at, bytes) in sent {
         sum += bytes;
         while sent[first].0 <= at - 1.0 {
             sum -= sent[first].1;
             first += 1;
         }
-        most = most.max(sum);
+        max = max.max(sum);
     }
-    most
+    max
 }
 
 impl Model {
-    fn new(play: Play) -> Self {
+    fn new(simulation: Simulation) -> Self {
         let engine = |_| Engine {
             step: Step::Idle,
             call: None,
@@ -179,7 +181,7 @@
             loading: None,
             served: 1,
         };
-        let seen = |n| rollout::Engine {
+        let known = |n| rollout::Engine {
             life: format!("e{n:03}").parse().unwrap(),
             version: 1,
             changing: None,
@@ -188,62 +190,62 @@
         };
         Self {
             now: 0.0,
-            engines: (0..play.engines).map(engine).collect(),
-            seen: (0..play.engines).map(seen).collect(),
-            told: Announcements::default(),
-            under_way: 0,
-            paced: Calls::default(),
+            engines: (0..simulation.engines).map(engine).collect(),
+            known: (0..simulation.engines).map(known).collect(),
+            announcements: Announcements::default(),
+            active_calls: 0,
+            call_pacer: Calls::default(),
             calls: Vec::new(),
             messages: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(0x10ad),
-            play,
+            simulation,
         }
     }
 
-    /// Begins the changes that are due.
-    fn look(&mut self, version: u64) {
-        for life in rollout::next(&self.seen, version, secs(self.now)) {
-            let at = self.seen.iter().position(|e| e.life == life).unwrap();
-            self.seen[at].changing = Some(version);
-            let half = self.play.failing / 2.0;
+    /// Starts the changes that are due.
+    fn poll(&mut self, version: u64) {
+        for life in rollout::next(&self.known, version, secs(self.now)) {
+            let at = self.known.iter().position(|e| e.life == life).unwrap();
+            self.known[at].changing = Some(version);
+            let half = self.simulation.failing / 2.0;
             let draw: f64 = self.rng.random();
             self.engines[at].fails = (draw < half, draw >= half && draw < half * 2.0);
-            self.engines[at].step = Step::AskFirst;
+            self.engines[at].step = Step::FirstReport;
         }
     }
 
-    /// Sends the message that is due; when the next may be sent.
-    fn tell(&mut self, now: f64) -> f64 {
-        let Some(due) = self.told.due() else { return now };
-        let at = due.as_secs_f64().max(now) + GATHER;
+    /// Sends the message that is due and returns when the next may be sent.
+    fn send_message(&mut self, now: f64) -> f64 {
+        let Some(due) = self.announcements.due() else { return now };
+        let at = due.as_secs_f64().max(now) + COLLECT;
         if due > secs(now) {
             return now;
         }
-        let next = self.told.next(secs(now));
+        let next = self.announcements.next(secs(now));
         if next.is_empty() {
             return now;
         }
         let mut groups: Vec<(u64, bool)> = next.iter().map(|(_, change)| group(change)).collect();
         groups.sort_unstable();
         groups.dedup();
-        let bytes = MESSAGE_BYTES + groups.len() * GROUP_BYTES + next.len() * TOLD_BYTES;
-        let datagrams = fan_out(self.play.hosts - 1);
+        let bytes = MESSAGE_BYTES + groups.len() * GROUP_BYTES + next.len() * ENGINE_BYTES;
+        let datagrams = fan_out(self.simulation.hosts - 1);
         self.messages.push((now, (datagrams * (bytes + DATAGRAM_HEADERS)) as f64));
         at + PERIOD.max(LINK.message_pause(datagrams, bytes)).as_secs_f64()
     }
 
-    /// Engines that are ordered to finish, and then load.
+    /// Advances the engines that finish their requests and then load.
     fn load(&mut self) {
         let is_loading = |e: &&Engine| e.loading.is_some() && e.finishing <= 0.0;
         let loading = self.engines.iter().filter(is_loading).count();
-        let slow = (loading as f64 / (self.play.engines / 5).max(2) as f64).max(1.0);
-        for (engine, seen) in self.engines.iter_mut().zip(&mut self.seen) {
+        let slow = (loading as f64 / (self.simulation.engines / 5).max(2) as f64).max(1.0);
+        for (engine, known) in self.engines.iter_mut().zip(&mut self.known) {
             match engine.loading {
                 Some(_) if engine.finishing > STEP => engine.finishing -= STEP,
-                Some(_) if engine.finishing > 0.0 => (engine.finishing, seen.work) = (0.0, 0),
+                Some(_) if engine.finishing > 0.0 => (engine.finishing, known.work) = (0.0, 0),
                 Some(left) if left > STEP => engine.loading = Some(left - STEP / slow),
                 Some(_) => {
-                    engine.served = seen.changing.expect("it was ordered");
+                    engine.served = known.changing.expect("a loading engine has a version ordered");
                     engine.loading = None;
                 }
                 None => {}
@@ -251,19 +253,19 @@
         }
     }
 
-    /// Whether the call of the engine `at`, begun as soon as one more is
-    /// allowed, has ended after `time`.
-    fn has_called(&mut self, at: usize, time: f64) -> bool {
+    /// Starts the call to engine `at` as soon as one more is allowed, and returns whether it has
+    /// ended, `time` seconds after its start.
+    fn call_has_ended(&mut self, at: usize, time: f64) -> bool {
         match self.engines[at].call {
-            None if self.under_way < CALLS => {
-                self.under_way += 1;
-                let begins = self.now + self.paced.wait(LINK, secs(self.now)).as_secs_f64();
+            None if self.active_calls < CALLS => {
+                self.active_calls += 1;
+                let begins = self.now + self.call_pacer.wait(LINK, secs(self.now)).as_secs_f64();
                 self.calls.push((begins, CALL_BYTES));
                 self.engines[at].call = Some(begins);
                 false
             }
             Some(begun) if self.now >= begun + time => {
-                self.under_way -= 1;
+                self.active_calls -= 1;
                 self.engines[at].call = None;
                 true
             }
@@ -275,21 +277,23 @@
         let (now, step) = (self.now, self.engines[at].step);
         let (no_report, no_order) = self.engines[at].fails;
         let time = match step {
-            Step::AskFirst if no_report => NO_ANSWER,
+            Step::FirstReport if no_report => NO_ANSWER,
             Step::Order if no_order => NO_ANSWER,
             _ => CALL,
         };
-        let calls = matches!(step, Step::AskFirst | Step::Order | Step::Question);
-        if calls && !self.has_called(at, time) {
+        let calls = matches!(step, Step::FirstReport | Step::Order | Step::Question);
+        if calls && !self.call_has_ended(at, time) {
             return;
         }
         self.engines[at].step = match step {
-            Step::AskFirst if no_report => self.end(at, false, false),
-            Step::AskFirst => {
+            Step::FirstReport if no_report => self.end(at, false, false),
+            Step::FirstReport => {
                 self.close(at);
                 Step::Announced(now)
             }
-            Step::Announced(since) if self.told.is_told(at as u64) || now >= since + TOLD => {
+            Step::Announced(since)
+                if self.announcements.is_told(at as u64) || now >= since + ANNOUNCE_TIMEOUT =>
+            {
                 Step::Delayed(now + ORDER_DELAY)
             }
             Step::Delayed(until) if now >= until => Step::Order,
@@ -303,22 +307,22 @@
         };
     }
 
-    /// An engine has been ordered to change, and accepted that or not.
+    /// Handles the end of an order, which the engine accepted or not.
     fn ordered(&mut self, at: usize, accepted: bool) -> Step {
         let engine = &mut self.engines[at];
         engine.idle = 0;
         if !accepted {
             return Step::Waiting(self.now + QUESTION.as_secs_f64());
         }
-        engine.finishing = self.play.finish;
+        engine.finishing = self.simulation.finish;
         engine.loading = Some(LOAD);
         Step::Waiting(self.now + FIRST_REPORT)
     }
 
-    /// An engine has answered whether it has changed.
+    /// Handles an engine's answer to the question whether it has changed.
     fn answered(&mut self, at: usize) -> Step {
         let engine = &mut self.engines[at];
-        if Some(engine.served) == self.seen[at].changing {
+        if Some(engine.served) == self.known[at].changing {
             return self.end(at, true, true);
         }
         if engine.loading.is_none() && engine.idle >= 1 {
@@ -332,33 +336,33 @@
     }
 
     fn pause(&self) -> f64 {
-        let changing = self.seen.iter().filter(|e| e.changing.is_some()).count();
+        let changing = self.known.iter().filter(|e| e.changing.is_some()).count();
         LINK.question_pause(changing).as_secs_f64()
     }
 
     fn close(&mut self, at: usize) {
-        let version = self.seen[at].changing.expect("it is being changed");
+        let version = self.known[at].changing.expect("the engine is being changed");
         let change = Change::Closed { model: "m".into(), version, span: CLOSED };
-        self.told.put(at as u64, change, secs(self.now));
+        self.announcements.put(at as u64, change, secs(self.now));
     }
 
-    /// An attempt has ended, of which others had been told if `closed`.
+    /// Ends an attempt; the engine had been announced as closed if `closed`.
     fn end(&mut self, at: usize, changed: bool, closed: bool) -> Step {
-        let (now, engine, seen) = (self.now, &mut self.engines[at], &mut self.seen[at]);
-        seen.changing = None;
-        seen.version = engine.served;
-        seen.work = 1 + at as u64 % 5;
+        let (now, engine, known) = (self.now, &mut self.engines[at], &mut self.known[at]);
+        known.changing = None;
+        known.version = engine.served;
+        known.work = 1 + at as u64 % 5;
         match changed {
             true => engine.failures = 0,
             false => {
                 let doubled = 2u32.pow(engine.failures.min(ORDER_DOUBLINGS));
-                seen.pause = Some(secs(now + ORDER_PAUSE * f64::from(doubled)));
+                known.pause = Some(secs(now + ORDER_PAUSE * f64::from(doubled)));
                 engine.failures += 1;
             }
         }
         if closed {
-            let change = Change::Open { model: "m".into(), version: seen.version };
-            self.told.put(at as u64, change, secs(now));
+            let change = Change::Open { model: "m".into(), version: known.version };
+            self.announcements.put(at as u64, change, secs(now));
         }
         Step::Idle
     }
--- a/crates/core/tests/spread_views.rs
+++ b/crates/core/tests/spread_views.rs
@@ -1,6 +1,6 @@
-//! Promise: a message to all hosts reaches those that the sender and its
-//! relays know, though no two hosts know the same ones, and nobody sends more
-//! than a few datagrams for it.
+//! Invariant: a message to all hosts reaches those that the sender and its relays
+//! know, although no two hosts know the same set of hosts, and no host sends more than
+//! a few datagrams for it.
 
 use std::collections::HashSet;
 
@@ -12,72 +12,76 @@
 
 const SEEDS: u64 = 100;
 
-/// All of `names`, heard lately.
-fn heard(names: &[u64]) -> Vec<Host> {
+/// Hosts with `names`, all with a recent heartbeat.
+fn hosts_with_heartbeat(names: &[u64]) -> Vec<Host> {
     names.iter().map(|name| Host { name: *name, heard: true }).collect()
 }
 
-/// A host's view: `hosts` without `unknown` of them.
-fn view(rng: &mut ChaCha8Rng, hosts: &[u64], unknown: usize) -> Vec<u64> {
+/// The hosts that one host knows: `hosts` without `unknown` of them.
+fn known_hosts(rng: &mut ChaCha8Rng, hosts: &[u64], unknown: usize) -> Vec<u64> {
     let mut known = hosts.to_vec();
     known.shuffle(rng);
     known.truncate(hosts.len() - unknown);
     known
 }
 
-#[test_case(8, 1; "told directly")]
+#[test_case(8, 1; "sent directly")]
 #[test_case(69, 3; "sixty-nine hosts")]
 #[test_case(294, 15; "two hundred and ninety-four hosts")]
 #[test_case(409, 40; "four hundred and nine hosts, a tenth unknown to each")]
-fn hosts_that_the_sender_and_their_relay_know_hear_it(count: usize, unknown: usize) {
+fn hosts_that_the_sender_and_their_relay_know_receive_it(count: usize, unknown: usize) {
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..count).map(|_| rng.random()).collect();
-        let sender = view(&mut rng, &hosts, unknown);
-        let legs = plan(&heard(&sender), rng.random());
+        let sender = known_hosts(&mut rng, &hosts, unknown);
+        let legs = plan(&hosts_with_heartbeat(&sender), rng.random());
         assert!(legs.len() <= fan_out(sender.len()), "{} datagrams", legs.len());
-        let mut told = HashSet::new();
+        let mut received = HashSet::new();
         for leg in &legs {
             let relay = sender[leg.to];
-            assert!(told.insert(relay), "told twice");
+            assert!(received.insert(relay), "sent to the same relay twice");
             let Some(slice) = leg.slice else { continue };
-            let known: HashSet<u64> = view(&mut rng, &hosts, unknown).into_iter().collect();
+            let known: HashSet<u64> = known_hosts(&mut rng, &hosts, unknown).into_iter().collect();
             for host in hosts.iter().filter(|host| slice.holds(**host) && **host != relay) {
-                // Told exactly by the relay of its slice, if that knows it:
-                // also where the sender does not.
-                assert_eq!(known.contains(host) && told.insert(*host), known.contains(host));
+                // Receives it exactly from the relay of its slice if that relay knows it,
+                // even if the sender does not.
+                assert_eq!(known.contains(host) && received.insert(*host), known.contains(host));
             }
         }
-        // What is missing is no more than what relays do not know, and slices
-        // of which the sender knows nobody.
-        let missing = count - told.len();
-        assert!(missing <= unknown * 3, "{missing} of {count} not told");
+        // Only hosts unknown to their relay and hosts in slices of which the sender knows
+        // no host are missed.
+        let missing = count - received.len();
+        assert!(missing <= unknown * 3, "{missing} of {count} hosts did not receive it");
     }
 }
 
 #[test]
-fn a_slice_is_no_more_than_a_few_times_the_fan_out() {
+fn a_slice_holds_at_most_three_times_the_fan_out() {
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..409).map(|_| rng.random()).collect();
-        for leg in plan(&heard(&hosts), seed) {
+        for leg in plan(&hosts_with_heartbeat(&hosts), seed) {
             let slice = leg.slice.expect("many hosts");
-            let passed = hosts.iter().filter(|host| slice.holds(**host)).count();
-            assert!(passed <= fan_out(hosts.len()) * 3, "one relay passes it on to {passed}");
+            let forwarded = hosts.iter().filter(|host| slice.holds(**host)).count();
+            assert!(
+                forwarded <= fan_out(hosts.len()) * 3,
+                "one relay forwards it to {forwarded} hosts"
+            );
         }
     }
 }
 
-/// A host that hears nothing because its relay is down hears the next message.
+/// A host that misses a message because its relay is down receives the next one through another
+/// relay.
 #[test]
-fn a_relay_that_is_down_does_not_cut_the_same_hosts_off_twice() {
+fn a_relay_that_is_down_does_not_keep_isolating_the_same_hosts() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let hosts: Vec<u64> = (0..294).map(|_| rng.random()).collect();
     let down: HashSet<u64> = hosts.iter().copied().take(15).collect();
     let mut missed = vec![0u32; hosts.len()];
     let messages = 200;
     for _ in 0..messages {
-        for leg in plan(&heard(&hosts), rng.random()) {
+        for leg in plan(&hosts_with_heartbeat(&hosts), rng.random()) {
             let slice = leg.slice.expect("many hosts");
             for (at, host) in hosts.iter().enumerate() {
                 let lost = down.contains(&hosts[leg.to]) && slice.holds(*host);
@@ -85,27 +89,27 @@
             }
         }
     }
-    // One relay in twenty is down: ten of two hundred messages, and some more
-    // by chance.
-    let most = missed.iter().max().unwrap();
-    assert!(*most <= 30, "one host missed {most} of {messages}");
+    // One relay in twenty is down: ten of two hundred messages are expected to be missed, and
+    // some more by chance.
+    let max_missed = missed.iter().max().unwrap();
+    assert!(*max_missed <= 30, "one host missed {max_missed} of {messages}");
 }
 
-/// Hosts that were killed are known for some time; none of them is a relay once
-/// it has not been heard lately.
+/// Killed hosts stay known for some time; none of them is chosen as a relay once it has sent no
+/// recent heartbeat.
 #[test_case(98; "a third are down")]
 #[test_case(162; "more than half are down")]
-fn hosts_that_are_down_cut_no_others_off(down: usize) {
+fn hosts_that_are_down_isolate_no_live_hosts(down: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let names: Vec<u64> = (0..294).map(|_| rng.random()).collect();
     let host = |(at, name): (usize, &u64)| Host { name: *name, heard: at >= down };
     let hosts: Vec<Host> = names.iter().enumerate().map(host).collect();
     for _ in 0..SEEDS {
         let legs = plan(&hosts, rng.random());
-        let told = |name: u64| {
+        let received = |name: u64| {
             legs.iter().any(|leg| hosts[leg.to].heard && leg.slice.is_some_and(|s| s.holds(name)))
         };
-        let missed = hosts.iter().filter(|host| host.heard && !told(host.name)).count();
-        assert_eq!(missed, 0, "living hosts not told");
+        let missed = hosts.iter().filter(|host| host.heard && !received(host.name)).count();
+        assert_eq!(missed, 0, "live hosts that did not receive the message");
     }
 }
--- a/crates/core/tests/tenure_model.rs
+++ b/crates/core/tests/tenure_model.rs
@@ -1,15 +1,15 @@
-//! Promise: orders to engines come from one holder at a time, whoever the
-//! store deals the duty to.
+//! Invariant: orders to engines come from one leader at a time, whichever host the
+//! store assigns leadership to.
 //!
-//! Stateful fuzzing of three hosts before one store that deals one duty to a
-//! group's members: it lets members expire, moves the duty when they leave,
-//! and at times by itself, unasked, and it returns from copies of itself, whose
-//! leases ran on meanwhile or did not. Answers to joins come, come late or are
-//! lost; a host may be frozen at any point (it takes no step while time moves
-//! on). The oracle sees every order: tokens never fall and belong to one host
-//! each, a host takes its turn again only after the bound on turns, and a new
-//! holder's first order is that far from the last of the one before, unless
-//! the store moved the duty while that one could not know.
+//! Stateful fuzzing of three hosts and one store that assigns leadership to a member
+//! of a group. The store expires members, reassigns leadership when they leave and
+//! at times spontaneously, and is restored from snapshots whose leases ran on meanwhile
+//! or did not. Answers to joins arrive, arrive late or are lost; a host may be
+//! suspended at any point (it takes no step while time advances). The oracle
+//! checks every order: tokens never decrease and belong to one host each, a host
+//! orders again after another one only once the bound on turns has passed, and a new
+//! leader's first order comes at least that long after the last one of its predecessor,
+//! unless the store reassigned leadership while the predecessor could not know.
 
 #[path = "support/fuzz.rs"]
 mod fuzz;
@@ -25,35 +25,35 @@
 const LEASE: Duration = Duration::from_millis(2_700);
 const TURNS: Duration = Duration::from_millis(3_000);
 
-/// Moves of the duty by the store itself within the bound on turns.
-const MOVES: usize = 1;
+/// Spontaneous reassignments by the store within the bound on turns.
+const REASSIGNMENTS: usize = 1;
 
 #[derive(Debug, Clone)]
 enum Step {
     /// Time passes.
     Advance(u64),
-    /// Host `h` joins and hears the answer at once.
+    /// Host `h` joins and receives the answer at once.
     Join(usize),
-    /// Host `h` joins; the answer is on its way.
-    Ask(usize),
-    /// Host `h` hears that answer.
-    Hear(usize),
+    /// Host `h` joins; the answer is in transit.
+    JoinDelayed(usize),
+    /// Host `h` receives the answer in transit.
+    Receive(usize),
     /// Host `h` leaves the group.
     Leave(usize),
-    /// The store moves the duty to host `h`, if that is a member.
-    Move(usize),
-    /// A copy of the store is made.
-    Copy,
-    /// The store returns from the copy; leases in it have run on, or not.
-    Restore { ran: bool },
-    /// Host `h` orders, if it may.
+    /// The store reassigns leadership to host `h`, if that is a member.
+    Reassign(usize),
+    /// A snapshot of the store is taken.
+    Snapshot,
+    /// The store is restored from the snapshot, whose leases have run on or not.
+    Restore { leases_ran: bool },
+    /// Host `h` sends an order, if its token permits.
     Order(usize),
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Answer {
-    asked: Duration,
-    held: bool,
+    joined_at: Duration,
+    assigned: bool,
     token: Token,
 }
 
@@ -67,12 +67,12 @@
 #[derive(Clone, Default)]
 struct Store {
     era: u64,
-    /// When each member joined last.
+    /// When each member last joined.
     members: [Option<Duration>; HOSTS],
     owner: Option<usize>,
     generation: u64,
-    /// When the store moved the duty by itself.
-    moves: Vec<Duration>,
+    /// Times of spontaneous reassignments.
+    reassignments: Vec<Duration>,
 }
 
 impl Store {
@@ -98,24 +98,24 @@
         }
         self.owner = self.owner.or(Some(host));
         let token = Token::new(Era(self.era), self.generation);
-        Answer { asked: now, held: self.owner == Some(host), token }
+        Answer { joined_at: now, assigned: self.owner == Some(host), token }
     }
 
-    /// Returns at `now` from `copy`, made at `made`.
-    fn restore(&mut self, copy: &Self, made: Duration, now: Duration, ran: bool) {
+    /// Restores, at `now`, the `snapshot` taken at `taken_at`.
+    fn restore(&mut self, snapshot: &Self, taken_at: Duration, now: Duration, leases_ran: bool) {
         self.era += 1;
-        (self.owner, self.generation) = (copy.owner, copy.generation);
-        let away = if ran { Duration::ZERO } else { now - made };
-        self.members = copy.members.map(|joined| joined.map(|at| at + away));
+        (self.owner, self.generation) = (snapshot.owner, snapshot.generation);
+        let lease_shift = if leases_ran { Duration::ZERO } else { now - taken_at };
+        self.members = snapshot.members.map(|joined| joined.map(|at| at + lease_shift));
         self.expire(now);
     }
 
-    fn force(&mut self, host: usize, now: Duration) {
-        let lately = self.moves.iter().filter(|at| now < **at + TURNS).count();
-        if lately < MOVES && self.members[host].is_some() && self.owner != Some(host) {
+    fn reassign(&mut self, host: usize, now: Duration) {
+        let recent = self.reassignments.iter().filter(|at| now < **at + TURNS).count();
+        if recent < REASSIGNMENTS && self.members[host].is_some() && self.owner != Some(host) {
             self.owner = Some(host);
             self.generation += 1;
-            self.moves.push(now);
+            self.reassignments.push(now);
         }
     }
 }
@@ -123,17 +123,17 @@
 struct World {
     now: Duration,
     store: Store,
-    /// A copy of the store, and when it was made.
-    copy: (Store, Duration),
+    /// A snapshot of the store, and when it was taken.
+    snapshot: (Store, Duration),
     hosts: Vec<Tenure>,
-    coming: [Option<Answer>; HOSTS],
+    in_transit: [Option<Answer>; HOSTS],
     orders: Vec<Order>,
 }
 
 impl World {
-    fn hear(&mut self, host: usize, answer: Answer) {
-        let Answer { asked, held, token } = answer;
-        self.hosts[host].dealt(held, token, asked, self.now, TURNS);
+    fn receive(&mut self, host: usize, answer: Answer) {
+        let Answer { joined_at, assigned, token } = answer;
+        self.hosts[host].dealt(assigned, token, joined_at, self.now, TURNS);
     }
 
     fn order(&mut self, host: usize) {
@@ -143,21 +143,21 @@
             assert!(token >= last.token, "{order:?} after {last:?}");
             if last.host != host {
                 assert!(token > last.token, "{order:?} after {last:?}");
-                let moved = self.store.moves.iter().any(|at| last.at < *at + TURNS);
+                let reassigned = self.store.reassignments.iter().any(|at| last.at < *at + TURNS);
                 let apart = order.at - last.at >= TURNS;
-                assert!(apart || moved, "{order:?} too soon after {last:?}");
+                assert!(apart || reassigned, "{order:?} too soon after {last:?}");
                 let before = self.orders.iter().rev().find(|o| o.host == host);
                 let apart = before.is_none_or(|o| order.at - o.at >= TURNS);
-                assert!(apart, "{order:?} takes turns with {last:?}, after {before:?}");
+                assert!(apart, "{order:?} alternates with {last:?} too soon after {before:?}");
             }
         }
         self.orders.push(order);
     }
 }
 
-struct Contest;
+struct Leadership;
 
-impl ReferenceStateMachine for Contest {
+impl ReferenceStateMachine for Leadership {
     type State = ();
     type Transition = Step;
 
@@ -170,12 +170,12 @@
         prop_oneof![
             8 => (20u64..900).prop_map(Step::Advance),
             8 => host.clone().prop_map(Step::Join),
-            2 => host.clone().prop_map(Step::Ask),
-            2 => host.clone().prop_map(Step::Hear),
+            2 => host.clone().prop_map(Step::JoinDelayed),
+            2 => host.clone().prop_map(Step::Receive),
             1 => host.clone().prop_map(Step::Leave),
-            2 => host.clone().prop_map(Step::Move),
-            1 => Just(Step::Copy),
-            1 => any::<bool>().prop_map(|ran| Step::Restore { ran }),
+            2 => host.clone().prop_map(Step::Reassign),
+            1 => Just(Step::Snapshot),
+            1 => any::<bool>().prop_map(|leases_ran| Step::Restore { leases_ran }),
             8 => host.prop_map(Step::Order),
         ]
         .boxed()
@@ -186,19 +186,19 @@
     }
 }
 
-struct ContestTest;
+struct LeadershipTest;
 
-impl StateMachineTest for ContestTest {
+impl StateMachineTest for LeadershipTest {
     type SystemUnderTest = World;
-    type Reference = Contest;
+    type Reference = Leadership;
 
     fn init_test(_: &()) -> World {
         World {
             now: Duration::from_secs(100),
             store: Store::default(),
-            copy: (Store::default(), Duration::from_secs(100)),
+            snapshot: (Store::default(), Duration::from_secs(100)),
             hosts: vec![Tenure::new(LEASE); HOSTS],
-            coming: [None; HOSTS],
+            in_transit: [None; HOSTS],
             orders: Vec::new(),
         }
     }
@@ -210,27 +210,27 @@
                 world.store.expire(world.now);
             }
             Step::Join(h) => {
-                world.coming[h] = None;
+                world.in_transit[h] = None;
                 let answer = world.store.join(h, world.now);
-                world.hear(h, answer);
+                world.receive(h, answer);
             }
-            Step::Ask(h) => world.coming[h] = Some(world.store.join(h, world.now)),
-            Step::Hear(h) => {
-                if let Some(answer) = world.coming[h].take() {
-                    world.hear(h, answer);
+            Step::JoinDelayed(h) => world.in_transit[h] = Some(world.store.join(h, world.now)),
+            Step::Receive(h) => {
+                if let Some(answer) = world.in_transit[h].take() {
+                    world.receive(h, answer);
                 }
             }
             Step::Leave(h) if world.store.members[h].is_some() => {
-                world.coming[h] = None;
+                world.in_transit[h] = None;
                 world.hosts[h].release();
                 world.store.remove(h);
             }
             Step::Leave(_) => {}
-            Step::Move(h) => world.store.force(h, world.now),
-            Step::Copy => world.copy = (world.store.clone(), world.now),
-            Step::Restore { ran } => {
-                let (copy, made) = &world.copy;
-                world.store.restore(copy, *made, world.now, ran);
+            Step::Reassign(h) => world.store.reassign(h, world.now),
+            Step::Snapshot => world.snapshot = (world.store.clone(), world.now),
+            Step::Restore { leases_ran } => {
+                let (snapshot, taken_at) = &world.snapshot;
+                world.store.restore(snapshot, *taken_at, world.now, leases_ran);
             }
             Step::Order(h) => world.order(h),
         }
@@ -242,12 +242,12 @@
     #![proptest_config(fuzz::config(0x7e40))]
 
     #[test]
-    fn one_holder_orders_at_a_time(sequential 20..200 => ContestTest);
+    fn one_leader_orders_at_a_time(sequential 20..200 => LeadershipTest);
 }
 
-/// The fuzzing above would also pass if nobody ever ordered.
+/// Guards against a vacuous pass: the fuzzing above would also pass if no host ever ordered.
 #[test]
-fn a_duty_is_taken_up_kept_and_taken_over() {
+fn leadership_is_acquired_kept_and_taken_over() {
     let ms = Duration::from_millis;
     let mut store = Store::default();
     let mut hosts = vec![Tenure::new(LEASE); 2];
@@ -258,11 +258,11 @@
         store.expire(now);
         for h in 0..2 {
             if h == 0 && now > ms(6_000) {
-                continue; // host 0 is frozen
+                continue; // host 0 is suspended
             }
             if now >= due[h] {
-                let Answer { asked, held, token } = store.join(h, now);
-                hosts[h].dealt(held, token, asked, now, TURNS);
+                let Answer { joined_at, assigned, token } = store.join(h, now);
+                hosts[h].dealt(assigned, token, joined_at, now, TURNS);
                 due[h] = now + hosts[h].pause(now, TURNS, 4);
             }
             orders.extend(hosts[h].token(now, TURNS).map(|token| (h, token, now)));
@@ -276,10 +276,10 @@
     assert!(over.2 <= ms(6_000) + LEASE + TURNS + LEASE / 4, "taken over at {:?}", over.2);
 }
 
-/// A holder that was dealt the duty again before anyone else can have ordered
-/// does not pause once more.
+/// A leader that is assigned leadership again before any other host can have ordered
+/// continues without another waiting period.
 #[test]
-fn a_holder_that_lost_the_duty_for_a_moment_goes_on() {
+fn a_leader_that_lost_leadership_briefly_continues_without_a_wait() {
     let ms = Duration::from_millis;
     let mut tenure = Tenure::new(LEASE);
     let token = |generation| Token::new(Era(0), generation);
@@ -293,10 +293,10 @@
     assert_eq!(tenure.token(ms(4_000), TURNS), Some(token(3)));
 }
 
-/// The store returns from a copy in which host 1 held the duty, while host 0
-/// counts on its lease.
+/// The store is restored from a snapshot in which host 1 is the leader, while host 0
+/// still relies on its lease.
 #[test]
-fn a_holder_by_an_old_copy_lets_the_lease_of_the_last_one_run_out() {
+fn a_leader_by_an_old_snapshot_waits_until_the_lease_of_its_predecessor_has_expired() {
     let ms = Duration::from_millis;
     let mut hosts = vec![Tenure::new(LEASE); 2];
     let old = |generation| Token::new(Era(0), generation);
@@ -318,15 +318,15 @@
     assert!(first >= last + TURNS, "{first:?} after {last:?}");
     assert!(first <= ms(5_010) + LEASE + TURNS, "{first:?}");
     assert!(restored > old(9));
-    // An answer of the former era comes late.
+    // An answer of the previous era arrives late.
     let late = hosts[1].dealt(true, old(9), ms(4_900), ms(12_000), TURNS);
     assert_eq!((late, hosts[1].token(ms(12_000), TURNS)), (Dealt::Unchanged, Some(restored)));
 }
 
-/// The store returns from a copy once more while a holder still waits: another
-/// one, dealt the duty before, may have ordered until then.
+/// The store is restored once more while a leader still waits: another host that was
+/// assigned leadership before may have ordered until then.
 #[test]
-fn a_tenure_that_waits_begins_anew_in_a_later_era() {
+fn a_waiting_leader_restarts_its_wait_in_a_later_era() {
     let ms = Duration::from_millis;
     let mut tenure = Tenure::new(LEASE);
     let token = |era| Token::new(Era(era), 4);
@@ -338,7 +338,7 @@
     assert_eq!(dealt, Dealt::Taken { token: token(1), since });
     tenure.dealt(true, token(1), ms(4_000), ms(4_000), TURNS);
     assert_eq!(tenure.token(ms(4_000), TURNS), None);
-    // One that could order goes on.
+    // A leader that was already able to order continues.
     for at in [5_000, 7_000, 8_500] {
         tenure.dealt(true, token(1), ms(at), ms(at), TURNS);
     }
