--- a/crates/core/tests/candidacy_model.rs
+++ b/crates/core/tests/candidacy_model.rs
@@ -60,7 +60,7 @@
 /// What each host reported of itself in one step; the others receive it a round later.
 type Reports = Vec<Option<Other>>;
 
-/// `other` as it reads when received `late` after it was sent.
+/// `other` with its age of store errors advanced by `delay`, the time since it was sent.
 fn delayed(other: Other, delay: Duration) -> Other {
     Other { errors: other.errors.map(|age| age + delay), ..other }
 }
--- a/crates/core/tests/claims_model.rs
+++ b/crates/core/tests/claims_model.rs
@@ -182,7 +182,7 @@
                             sends.iter().filter(|(_, last)| *last >= first_kept).collect();
                         assert!(
                             kept.is_empty(),
-                            "{key} sent again while the log keeps a record of the first call: {kept:?}"
+                            "{key} sent again while the log keeps its first call: {kept:?}"
                         );
                         sends.push((answer, claimed.0 as usize));
                     }
--- a/crates/core/tests/quota_model.rs
+++ b/crates/core/tests/quota_model.rs
@@ -72,7 +72,8 @@
         events in prop::collection::vec(event(), 0..3),
         seed in any::<u64>(),
     ) {
-        let load = Load { usual: rate / QUOTA_TO_LOAD, burst_factor, from: secs(from), span: secs(span) };
+        let load =
+            Load { usual: rate / QUOTA_TO_LOAD, burst_factor, from: secs(from), span: secs(span) };
         let mut world = World::new(hosts, limit(rate), load, seed);
         world.run(LENGTH, &events);
         let excess = world.excess();
@@ -120,8 +121,8 @@
 }
 
 /// Overlapping partitions, found by a longer run of the fuzzing above: together they leave no
-/// half of the hosts connected to each other, so no host coordinates the quota, during a burst
-/// of the workspace.
+/// half of the hosts connected to each other, so that no host coordinates the quota, during a
+/// burst of the workspace.
 #[test]
 fn overlapping_partitions_of_more_than_half_of_the_hosts_keep_a_window_within_its_bound() {
     let load = Load {
--- a/crates/core/tests/registry_model.rs
+++ b/crates/core/tests/registry_model.rs
@@ -129,7 +129,8 @@
                 }
                 Step::Disappeared { who } => {
                     let expected = all_expected.entry(who).or_default();
-                    let grace = recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+                    let grace =
+                        recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
                     let kept = grace.filter(|_| !expected.leaving);
                     expected.listed_until = Some(
                         expected.listed_until.filter(|_| kept.is_some()).or(kept).unwrap_or(now),
