--- a/crates/core/tests/policies.rs
+++ b/crates/core/tests/policies.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn maglev_table_does_not_depend_on_the_order_of_engines() {
+fn maglev_table_ignores_order() {
     let forward = keys(12);
     let mut backward = forward.clone();
     backward.reverse();
