--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,18 +1,19 @@
 //! A model engine with a prefix cache, for tests and the demo.
 //!
-//! - Requests run by continuous batching ([`batch`]): the longest cached run
-//!   of leading prompt blocks costs nothing to read.
-//! - The cache ([`cache`]) holds `capacity` blocks, least recently used out
-//!   first, and drops blocks left unused for `idle_ms`. Its events are
-//!   published late, and some never. `GET /v1/events?from=N&wait_ms=M` waits
-//!   up to M ms until there are some.
-//! - Load is reported every `load_lag_ms`, so it lags.
+//! - Requests run by continuous batching ([`batch`]). The longest cached run
+//!   of leading prompt blocks costs no prefill time.
+//! - The cache ([`cache`]) stores `capacity` blocks, evicts the least recently
+//!   used first, and drops blocks that were not used for `idle_ms`. Its events
+//!   are published with a delay, and a share of them is lost.
+//!   `GET /v1/events?from=N&wait_ms=M` is a long poll of up to M ms.
+//! - The load report is refreshed every `load_lag_ms`, so it can be out of date.
 //! - `POST /v1/admin/weights` loads new weights under a fencing token, which
-//!   takes `weights_ms`; a fenced engine refuses an older token, an unfenced
-//!   one obeys it. `GET /v1/admin/orders` lists the orders received.
-//! - A prompt with the text `crash_on` ends the process once it begins to run.
-//! - Every `cross_every`th answer begins with a chunk of another request, as
-//!   a faulty engine might mix answers up.
+//!   takes `weights_ms`. A fenced engine rejects an older token, an unfenced
+//!   one accepts it. `GET /v1/admin/orders` lists the orders received.
+//! - A prompt that contains the text `crash_on` ends the process when the request
+//!   is admitted to the batch.
+//! - Every `cross_every`th response begins with a chunk under another request's
+//!   id, as a faulty engine that mixes up responses might send.
 
 mod batch;
 mod cache;
@@ -40,11 +41,11 @@
 /// Largest request body, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
 
-/// Longest wait for events, and how often a waiting reader looks.
+/// Longest wait of a long poll for events, and its polling interval.
 const WAIT_LIMIT: Duration = Duration::from_secs(1);
 const WAIT_STEP: Duration = Duration::from_millis(10);
 
-/// The engine's whole state.
+/// State of the engine.
 struct Engine {
     opts: EngineOptions,
     incarnation: Incarnation,
@@ -57,7 +58,7 @@
     answers: AtomicU64,
 }
 
-/// An order received, and whether it was obeyed.
+/// A weights order received, and whether it was accepted.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Order {
     version: ModelVersion,
@@ -67,7 +68,7 @@
 
 /// Query of `GET /v1/events`.
 #[derive(Debug, Deserialize)]
-struct From {
+struct EventsQuery {
     from: u64,
     wait_ms: Option<u64>,
 }
@@ -94,7 +95,7 @@
     engine.refresh_report();
     tracing::info!(target: "engine", "engine: listening on {listen}, incarnation {}.", engine.incarnation);
     let engine: &'static Engine = engine;
-    ntex::rt::spawn(sweep(engine));
+    ntex::rt::spawn(refresh_periodically(engine));
     ntex::rt::spawn(batch::run(engine));
     web::HttpServer::new(move || {
         web::App::new()
@@ -125,7 +126,7 @@
     if engine.opts.refuse {
         return HttpResponse::ServiceUnavailable().header(NOT_EXECUTED, "true").body("full");
     }
-    if request.expect_version.is_some_and(|due| due != version) {
+    if request.expect_version.is_some_and(|expected| expected != version) {
         return HttpResponse::Conflict()
             .header(NOT_EXECUTED, "true")
             .body(format!("weights version is {version}"));
@@ -135,21 +136,24 @@
     };
     let prefix = Prefix::new(&request.prompt, &workspace, version);
     let (tx, rx) = mpsc::unbounded();
-    engine.batch.push(request, prefix, version, engine.crosses(), tx);
+    engine.batch.push(request, prefix, version, engine.corrupts_next_response(), tx);
     HttpResponse::Ok()
         .content_type("text/event-stream")
         .header(WEIGHTS_VERSION, version.to_string())
         .streaming(rx)
 }
 
-async fn events(engine: types::State<&'static Engine>, query: types::Query<From>) -> HttpResponse {
+async fn events(
+    engine: types::State<&'static Engine>,
+    query: types::Query<EventsQuery>,
+) -> HttpResponse {
     let wait = Duration::from_millis(query.wait_ms.unwrap_or(0)).min(WAIT_LIMIT);
     let deadline = Instant::now() + wait;
     let version = engine.version();
     let (events, next) = loop {
-        let found = engine.cache.lock().unwrap().events(query.from);
-        if !found.0.is_empty() || Instant::now() >= deadline || engine.version() != version {
-            break found;
+        let page = engine.cache.lock().unwrap().events(query.from);
+        if !page.0.is_empty() || Instant::now() >= deadline || engine.version() != version {
+            break page;
         }
         ntex::time::sleep(WAIT_STEP).await;
     };
@@ -175,12 +179,13 @@
     body: types::Json<WeightsOrder>,
 ) -> HttpResponse {
     let WeightsOrder { version, fencing } = body.into_inner();
-    let held = engine.fencing.load(Ordering::Acquire);
-    let obeyed = !engine.opts.fenced || fencing.0 >= held;
+    let current = engine.fencing.load(Ordering::Acquire);
+    let obeyed = !engine.opts.fenced || fencing.0 >= current;
     engine.orders.lock().unwrap().push(Order { version, fencing, obeyed });
     if !obeyed {
-        tracing::info!(target: "engine", "engine: refused weights order with fencing token {fencing} below {held}.");
-        return HttpResponse::Conflict().body(format!("fencing token {fencing} is below {held}"));
+        tracing::info!(target: "engine", "engine: rejected weights order with fencing token {fencing} below {current}.");
+        return HttpResponse::Conflict()
+            .body(format!("fencing token {fencing} is below {current}"));
     }
     engine.fencing.fetch_max(fencing.0, Ordering::AcqRel);
     ntex::time::sleep(Duration::from_millis(engine.opts.weights_ms)).await;
@@ -195,8 +200,8 @@
 }
 
 impl Engine {
-    /// Whether the answer now beginning is one to mix up.
-    fn crosses(&self) -> bool {
+    /// Whether the response that begins now gets a chunk under another request's id.
+    fn corrupts_next_response(&self) -> bool {
         let every = self.opts.cross_every;
         every > 0 && self.answers.fetch_add(1, Ordering::Relaxed) % every == every - 1
     }
@@ -216,7 +221,7 @@
 }
 
 /// Refreshes the load report and expires idle blocks, forever.
-async fn sweep(engine: &'static Engine) {
+async fn refresh_periodically(engine: &'static Engine) {
     let step = Duration::from_millis(engine.opts.load_lag_ms.clamp(10, 60_000));
     loop {
         ntex::time::sleep(step).await;
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,12 +1,12 @@
 //! Continuous batching: up to `slots` requests advance together, step by step.
 //!
-//! Each step reads up to `chunk` prompt tokens, shared out to the requests
-//! still reading theirs in the order they were admitted, and makes one token
-//! for each request that has read its prompt. A step takes
-//! `decode_ms` + `prefill_us` a prompt token read + `batch_us` a token made,
-//! so the more requests run, the more slowly each advances. Waiting requests
-//! are admitted interactive before normal before batch, then as they came. A
-//! request whose caller has gone leaves the batch at the end of the step.
+//! Each step prefills up to `chunk` prompt tokens, given to the requests still
+//! in prefill in order of admission, and generates one token for each request
+//! whose prefill is complete. A step takes `decode_ms` + `prefill_us` per
+//! prefilled token + `batch_us` per generated token, so the more requests run,
+//! the more slowly each advances. Waiting requests are admitted by priority
+//! (interactive, normal, batch), then in order of arrival. A request whose
+//! caller has disconnected leaves the batch at the end of the step.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -21,36 +21,37 @@
 
 use super::Engine;
 
-/// Status of a process that crashed under a request.
-const CRASHED: i32 = 70;
+/// Exit status of the process when a request crashes it.
+const CRASH_EXIT_STATUS: i32 = 70;
 
-/// Where a request's chunks go.
+/// Channel to the response stream of a request.
 pub type Sender = mpsc::UnboundedSender<Result<Bytes, std::io::Error>>;
 
-/// A request waiting or running.
+/// A request that is waiting or in the batch.
 struct Entry {
     request: EngineRequest,
     prefix: Prefix,
     version: ModelVersion,
-    /// Its first chunk is to bear another request's id.
-    crossed: bool,
+    /// Whether its first chunk is sent under another request's id.
+    corrupted: bool,
     tx: Sender,
+    /// Order of arrival.
     ticket: u64,
     /// Prompt tokens found cached at admission.
     cached: u64,
-    /// Prompt tokens still to be read.
-    unread: u64,
-    /// Next chunk to make.
+    /// Prompt tokens still to be prefilled.
+    unprefilled: u64,
+    /// Sequence number of the next chunk.
     seq: u32,
 }
 
-/// Requests waiting for a place in the batch.
+/// Queue of requests waiting for a slot in the batch.
 #[derive(Default)]
 pub struct Batch {
     waiting: Mutex<Vec<Entry>>,
-    arrived: Notify,
+    arrival: Notify,
     ticket: AtomicU32,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: AtomicU32,
 }
 
@@ -61,23 +62,33 @@
         request: EngineRequest,
         prefix: Prefix,
         version: ModelVersion,
-        crossed: bool,
+        corrupted: bool,
         tx: Sender,
     ) {
         let ticket = u64::from(self.ticket.fetch_add(1, Ordering::Relaxed));
         let seq = request.resume_from;
-        let entry =
-            Entry { request, prefix, version, crossed, tx, ticket, cached: 0, unread: 0, seq };
+        let entry = Entry {
+            request,
+            prefix,
+            version,
+            corrupted,
+            tx,
+            ticket,
+            cached: 0,
+            unprefilled: 0,
+            seq,
+        };
         self.waiting.lock().unwrap().push(entry);
-        self.arrived.notify_one();
+        self.arrival.notify_one();
     }
 
-    /// Requests waiting.
+    /// Number of requests waiting.
     pub fn waiting(&self) -> u32 {
         self.waiting.lock().unwrap().len() as u32
     }
 
-    /// Takes the most urgent waiting request whose caller is still there.
+    /// Takes the waiting request of the highest priority, oldest first, dropping
+    /// requests whose caller has disconnected.
     fn pop(&self) -> Option<Entry> {
         let mut waiting = self.waiting.lock().unwrap();
         waiting.retain(|entry| !entry.tx.is_closed());
@@ -87,19 +98,19 @@
     }
 }
 
-/// Runs the batch for ever.
+/// Runs the batch loop; never returns.
 pub async fn run(engine: &'static Engine) {
     let mut running: Vec<Entry> = Vec::new();
     loop {
         admit(engine, &mut running);
         if running.is_empty() {
-            engine.batch.arrived.notified().await;
+            engine.batch.arrival.notified().await;
             continue;
         }
-        let took = step(engine, &mut running);
-        match took.is_zero() {
+        let duration = step(engine, &mut running);
+        match duration.is_zero() {
             true => tokio::task::yield_now().await,
-            false => tokio::time::sleep(took).await,
+            false => tokio::time::sleep(duration).await,
         }
         finish_step(engine, &mut running);
     }
@@ -110,49 +121,49 @@
         let Some(mut entry) = engine.batch.pop() else {
             break;
         };
-        let fatal = &engine.opts.crash_on;
-        if !fatal.is_empty() && entry.request.prompt.contains(fatal) {
-            tracing::error!(target: "engine", "engine: crashing under request {}.", entry.request.id);
-            std::process::exit(CRASHED);
+        let crash_text = &engine.opts.crash_on;
+        if !crash_text.is_empty() && entry.request.prompt.contains(crash_text) {
+            tracing::error!(target: "engine", "engine: crashing while running request {}.", entry.request.id);
+            std::process::exit(CRASH_EXIT_STATUS);
         }
         let tokens = entry.prefix.tokens.0;
         entry.cached = engine.cache.lock().unwrap().lookup(&entry.prefix.blocks).min(tokens);
-        entry.unread = tokens - entry.cached;
+        entry.unprefilled = tokens - entry.cached;
         running.push(entry);
     }
     engine.batch.running.store(running.len() as u32, Ordering::Relaxed);
 }
 
-/// Shares out one step's reading; how long the step takes.
+/// Distributes the prefill budget of one step and returns the step's duration.
 fn step(engine: &Engine, running: &mut [Entry]) -> Duration {
     let opts = &engine.opts;
-    let made = running.iter().filter(|entry| entry.unread == 0).count() as u64;
+    let generated = running.iter().filter(|entry| entry.unprefilled == 0).count() as u64;
     let mut budget = opts.chunk;
-    for entry in running.iter_mut().filter(|entry| entry.unread > 0) {
-        let read = entry.unread.min(budget);
-        entry.unread -= read;
+    for entry in running.iter_mut().filter(|entry| entry.unprefilled > 0) {
+        let read = entry.unprefilled.min(budget);
+        entry.unprefilled -= read;
         budget -= read;
     }
     let read = opts.chunk - budget;
-    let micros = opts.decode_ms * 1000 + read * opts.prefill_us + made * opts.batch_us;
+    let micros = opts.decode_ms * 1000 + read * opts.prefill_us + generated * opts.batch_us;
     Duration::from_micros(micros)
 }
 
-/// Makes one token for every request that has read its prompt.
+/// Generates one token for every request whose prefill is complete.
 fn finish_step(engine: &Engine, running: &mut Vec<Entry>) {
-    running.retain_mut(|entry| match entry.unread {
+    running.retain_mut(|entry| match entry.unprefilled {
         0 => {
             if entry.seq == entry.request.resume_from {
                 engine.cache.lock().unwrap().store(&entry.prefix.blocks);
             }
-            make_token(entry)
+            send_token(entry)
         }
         _ => !entry.tx.is_closed(),
     });
 }
 
-/// Sends the request's next chunk; whether it goes on.
-fn make_token(entry: &mut Entry) -> bool {
+/// Sends the request's next chunk; returns whether more chunks follow.
+fn send_token(entry: &mut Entry) -> bool {
     let Entry { request, version, seq, .. } = &*entry;
     let last = seq + 1 >= request.max_tokens;
     let usage = Usage {
@@ -160,9 +171,9 @@
         cached_tokens: Tokens(entry.cached),
         completion_tokens: Tokens(u64::from(request.max_tokens)),
     };
-    let crossed = entry.crossed && *seq == request.resume_from;
+    let corrupted = entry.corrupted && *seq == request.resume_from;
     let chunk = Chunk {
-        id: if crossed { RequestId(request.id.0 ^ 1) } else { request.id },
+        id: if corrupted { RequestId(request.id.0 ^ 1) } else { request.id },
         seq: *seq,
         text: format!("t{}.{seq}v{version} ", request.id),
         usage: last.then_some(usage),
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,8 +1,8 @@
 //! The engine's prefix cache and the events it publishes about it.
 //!
-//! Blocks yield least recently used first, and after lying unused for a
-//! while. Events become visible after a lag, and a share of them never does,
-//! which leaves a gap in the sequence.
+//! Blocks are evicted least recently used first, and after an idle time. Events
+//! become visible after a delay. A share of them is lost, which leaves a gap in
+//! the sequence numbers.
 
 use std::collections::VecDeque;
 use std::num::NonZeroUsize;
@@ -17,22 +17,22 @@
 
 use crate::options::EngineOptions;
 
-/// Events kept for readers; older ones are gone for good.
-const EVENTS_KEPT: usize = 100_000;
+/// Number of events retained for readers; older ones are dropped.
+const MAX_RETAINED_EVENTS: usize = 100_000;
 
-/// Cached blocks and the events about them.
+/// Cached blocks and the events that report their changes.
 pub struct Cache {
     blocks: LruCache<BlockHash, Instant>,
     idle: Duration,
     lag: Duration,
     loss: f64,
     next: u64,
-    kept: VecDeque<(Instant, CacheEvent)>,
+    retained: VecDeque<(Instant, CacheEvent)>,
     rng: ChaCha8Rng,
 }
 
 impl Cache {
-    /// An empty cache with the sizes and faults of `opts`.
+    /// Creates an empty cache with the sizes and injected faults of `opts`.
     pub fn new(opts: &EngineOptions) -> Self {
         Self {
             blocks: LruCache::new(NonZeroUsize::new(opts.capacity).unwrap_or(NonZeroUsize::MIN)),
@@ -40,37 +40,38 @@
             lag: Duration::from_millis(opts.event_lag_ms),
             loss: opts.event_loss,
             next: 0,
-            kept: VecDeque::new(),
+            retained: VecDeque::new(),
             rng: ChaCha8Rng::seed_from_u64(opts.seed),
         }
     }
 
-    /// Cached prompt tokens: the longest run of leading blocks held.
+    /// Returns the number of cached prompt tokens: the longest run of leading
+    /// blocks in the cache.
     pub fn lookup(&mut self, blocks: &[BlockHash]) -> u64 {
-        let held = blocks.iter().take_while(|block| self.blocks.get(*block).is_some()).count();
-        (held * BLOCK_TOKENS) as u64
+        let hits = blocks.iter().take_while(|block| self.blocks.get(*block).is_some()).count();
+        (hits * BLOCK_TOKENS) as u64
     }
 
-    /// Holds `blocks`, evicting the least recently used beyond capacity.
+    /// Stores `blocks`, evicting the least recently used beyond capacity.
     pub fn store(&mut self, blocks: &[BlockHash]) {
         let now = Instant::now();
-        let mut fresh = Vec::new();
+        let mut stored = Vec::new();
         let mut evicted = Vec::new();
         for block in blocks {
             match self.blocks.push(*block, now) {
-                None => fresh.push(*block),
+                None => stored.push(*block),
                 Some((old, _)) if old != *block => {
-                    fresh.push(*block);
+                    stored.push(*block);
                     evicted.push(old);
                 }
                 Some(_) => {}
             }
         }
         self.publish(EventKind::Removed, evicted);
-        self.publish(EventKind::Stored, fresh);
+        self.publish(EventKind::Stored, stored);
     }
 
-    /// Drops blocks left unused for too long.
+    /// Drops blocks that were not used for the idle time.
     pub fn expire(&mut self) {
         let now = Instant::now();
         let mut evicted = Vec::new();
@@ -86,11 +87,11 @@
         self.push(EventKind::Cleared, Vec::new());
     }
 
-    /// The events visible now from number `from` on, and the number to read
-    /// on from.
+    /// Returns the visible events from sequence number `from` on, and the number
+    /// to continue reading from.
     pub fn events(&self, from: u64) -> (Vec<CacheEvent>, u64) {
         let now = Instant::now();
-        let visible = self.kept.iter().filter(|(at, event)| *at <= now && event.seq >= from);
+        let visible = self.retained.iter().filter(|(at, event)| *at <= now && event.seq >= from);
         let list: Vec<CacheEvent> = visible.map(|(_, event)| event.clone()).collect();
         let next = list.last().map(|event| event.seq + 1).unwrap_or(from);
         (list, next)
@@ -108,9 +109,9 @@
         if self.loss > 0.0 && self.rng.random_bool(self.loss) {
             return;
         }
-        self.kept.push_back((Instant::now() + self.lag, CacheEvent { seq, kind, blocks }));
-        if self.kept.len() > EVENTS_KEPT {
-            self.kept.pop_front();
+        self.retained.push_back((Instant::now() + self.lag, CacheEvent { seq, kind, blocks }));
+        if self.retained.len() > MAX_RETAINED_EVENTS {
+            self.retained.pop_front();
         }
     }
 }
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,8 +1,8 @@
 //! The platform's host list, for tests and the demo.
 //!
-//! Hosts are put in with `PUT /v1/hosts` (a [`HostEntry`]; the same address
-//! again replaces it) and listed with `GET /v1/hosts`, which answers the
-//! list as it stood `lag_ms` ago, or 304 when the reader has that version.
+//! `PUT /v1/hosts` adds a [`HostEntry`], or replaces the entry with the same
+//! address. `GET /v1/hosts` returns the list as it was `lag_ms` ago, or 304 when
+//! the client already has that version.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Known {
+struct KnownVersion {
     version: Option<u64>,
 }
 
@@ -29,7 +29,8 @@
 pub async fn serve(opts: HostsOptions) -> Result<(), Error> {
     let listen = opts.listen.clone();
     let mut history = VecDeque::new();
-    // Versions of another life of this process must not be taken for ours.
+    // Starts at a random version, so that versions from before a restart of this
+    // process are not mistaken for current ones.
     let version = rand::random::<u32>().into();
     history.push_back((Instant::now(), HostList { version, hosts: Vec::new() }));
     let hosts: &'static Hosts = Box::leak(Box::new(Hosts {
@@ -62,7 +63,10 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn get(hosts: types::State<&'static Hosts>, query: types::Query<Known>) -> HttpResponse {
+async fn get(
+    hosts: types::State<&'static Hosts>,
+    query: types::Query<KnownVersion>,
+) -> HttpResponse {
     let now = Instant::now();
     let mut history = hosts.history.lock().unwrap();
     while history.len() > 1 && now.duration_since(history[1].0) >= hosts.lag {
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,17 +1,17 @@
 //! The platform's log service, for tests and the demo.
 //!
-//! Named streams of records, append-only, each record given the next
-//! offset. Appends over `rate` a second get 429. Records older than
-//! `retention_s` expire and reads start at the oldest kept. An operator can
-//! order an outage: every call gets 503 until it ends.
+//! Named append-only streams of records; each record gets the next offset.
+//! Appends beyond `rate` per second get 429. Records older than `retention_s`
+//! expire, and reads start at the oldest retained one. An operator can inject an
+//! outage, during which every call gets 503.
 //!
-//! - `POST /v1/streams/{name}?at=N`: body is the record; answers
-//!   [`Appended`]. With `at`, 412 unless the stream ends at that offset.
-//! - `GET /v1/streams/{name}?from=N&limit=M`: answers [`LogRead`];
+//! - `POST /v1/streams/{name}?at=N`: the body is the record;
+//!   returns [`Appended`]. With `at`, 412 unless the stream ends at that offset.
+//! - `GET /v1/streams/{name}?from=N&limit=M`: returns [`LogRead`];
 //!   `?last=M` reads the last M records.
 //! - `POST /v1/admin/outage?ms=N`: fails every call for N ms.
-//! - `POST /v1/admin/lose?stream=S&count=N&late_ms=M`: never answers the next
-//!   N appends to S, and carries them out, M ms late if that is given.
+//! - `POST /v1/admin/lose?stream=S&count=N&late_ms=M`: executes the next N
+//!   appends to S without responding, M ms late if `late_ms` is given.
 //! - `POST /v1/admin/expire?stream=S`: drops every record of S.
 
 use std::collections::HashMap;
@@ -27,11 +27,11 @@
 use crate::options::LogOptions;
 use crate::util::now_ms;
 
-/// Records answered by one read at most.
+/// Largest number of records returned by one read.
 const READ_LIMIT: usize = 1000;
 
-/// How long a caller whose answer is lost is kept waiting.
-const NEVER: Duration = Duration::from_secs(60);
+/// How long a caller whose response is lost is kept waiting.
+const LOST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Log {
     opts: LogOptions,
@@ -42,13 +42,15 @@
 struct State {
     streams: HashMap<String, Stream>,
     outage_until: Option<Instant>,
-    /// Appends whose answers are to be lost, if an operator ordered so.
+    /// Appends whose responses are to be lost, if an operator injected that fault.
     lose: Option<Lose>,
+    /// Current second and the number of appends in it, for the rate limit.
     window: (u64, u32),
 }
 
 #[derive(Default)]
 struct Stream {
+    /// Offset of the oldest retained record.
     base: u64,
     records: Vec<LogRecord>,
 }
@@ -113,7 +115,7 @@
     let Ok(text) = String::from_utf8(body.to_vec()) else {
         return HttpResponse::BadRequest().body("record is not UTF-8");
     };
-    let fate = {
+    let outcome = {
         let mut state = log.state.lock().unwrap();
         if state.down() {
             return HttpResponse::ServiceUnavailable().body("log service outage");
@@ -121,33 +123,33 @@
         if !state.within_rate(log.opts.rate) {
             return HttpResponse::TooManyRequests().body("append rate exceeded");
         }
-        state.fate(&name)
+        state.append_outcome(&name)
     };
-    match fate {
-        Fate::Answer => log.push(&name, condition.at, text),
-        Fate::Lose => {
+    match outcome {
+        AppendOutcome::Answer => log.push(&name, condition.at, text),
+        AppendOutcome::Lose => {
             log.push(&name, condition.at, text);
-            never().await
+            lose_response().await
         }
-        Fate::Late(delay) => {
+        AppendOutcome::Late(delay) => {
             let (log, at) = (*log, condition.at);
             ntex::rt::spawn(async move {
                 ntex::time::sleep(delay).await;
                 log.push(&name, at, text);
             });
-            never().await
+            lose_response().await
         }
     }
 }
 
-/// Keeps a caller waiting until it gives up.
-async fn never() -> HttpResponse {
-    ntex::time::sleep(NEVER).await;
+/// Never responds in time, so that the caller times out.
+async fn lose_response() -> HttpResponse {
+    ntex::time::sleep(LOST_RESPONSE_TIMEOUT).await;
     HttpResponse::GatewayTimeout().finish()
 }
 
 impl Log {
-    /// Appends a record, if the stream ends at `at` where that is given.
+    /// Appends a record. With `at`, fails unless the stream ends at that offset.
     fn push(&self, name: &str, at: Option<u64>, body: String) -> HttpResponse {
         let mut state = self.state.lock().unwrap();
         let retention = self.opts.retention_s * 1000;
@@ -199,7 +201,7 @@
 
 async fn lose(log: types::State<&'static Log>, query: types::Query<Lose>) -> HttpResponse {
     let lose = query.into_inner();
-    tracing::info!(target: "log", "log: losing the answers of {} appends to {}.", lose.count, lose.stream);
+    tracing::info!(target: "log", "log: losing the responses to {} appends to {}.", lose.count, lose.stream);
     log.state.lock().unwrap().lose = Some(lose);
     HttpResponse::NoContent().finish()
 }
@@ -207,22 +209,22 @@
 async fn expire(log: types::State<&'static Log>, query: types::Query<Expire>) -> HttpResponse {
     let mut state = log.state.lock().unwrap();
     state.streams.entry(query.stream.clone()).or_default().expire(u64::MAX);
-    tracing::info!(target: "log", "log: every record of {} expired.", query.stream);
+    tracing::info!(target: "log", "log: expired every record of {}.", query.stream);
     HttpResponse::NoContent().finish()
 }
 
-/// What becomes of an append.
-enum Fate {
-    /// It is carried out and answered.
+/// How an append is handled.
+enum AppendOutcome {
+    /// It is executed and the response is sent.
     Answer,
-    /// It is carried out; its answer is lost.
+    /// It is executed; its response is lost.
     Lose,
-    /// It is carried out after this long; its answer is lost.
+    /// It is executed after this delay; its response is lost.
     Late(Duration),
 }
 
 impl State {
-    /// Counts one append against the rate; whether it is within it.
+    /// Counts one append and returns whether it is within the rate limit.
     fn within_rate(&mut self, rate: u32) -> bool {
         let second = now_ms() / 1000;
         self.window = match self.window {
@@ -232,17 +234,17 @@
         self.window.1 <= rate
     }
 
-    /// The fate of the next append to `stream`, by the faults ordered.
-    fn fate(&mut self, stream: &str) -> Fate {
+    /// Returns the outcome of the next append to `stream`, by the injected faults.
+    fn append_outcome(&mut self, stream: &str) -> AppendOutcome {
         match &mut self.lose {
             Some(lose) if lose.stream == stream && lose.count > 0 => {
                 lose.count -= 1;
                 match lose.late_ms {
-                    Some(ms) => Fate::Late(Duration::from_millis(ms)),
-                    None => Fate::Lose,
+                    Some(ms) => AppendOutcome::Late(Duration::from_millis(ms)),
+                    None => AppendOutcome::Lose,
                 }
             }
-            _ => Fate::Answer,
+            _ => AppendOutcome::Answer,
         }
     }
 
@@ -253,10 +255,10 @@
 
 impl Stream {
     fn expire(&mut self, before_ms: u64) {
-        let old = self.records.iter().take_while(|r| r.at_ms < before_ms).count();
-        if old > 0 {
-            self.records.drain(..old);
-            self.base += old as u64;
+        let expired = self.records.iter().take_while(|r| r.at_ms < before_ms).count();
+        if expired > 0 {
+            self.records.drain(..expired);
+            self.base += expired as u64;
         }
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,9 +1,10 @@
-//! `marjoram-standin`: small stand-ins for the platform, and the load tool.
+//! `marjoram-standin`: small substitutes for the services of the platform, for
+//! tests and the demo, and a load generator.
 //!
-//! Each stand-in is one plain process on loopback, speaking the HTTP shapes
-//! of [`marjoram_core::wire`]. `demo` starts a whole small site from them
-//! and two routers, replays a workload under every policy and prints the
-//! measures.
+//! Each stand-in is one process on loopback that exchanges the HTTP messages
+//! of [`marjoram_core::wire`]. `demo` starts a complete small deployment from
+//! them and two routers, replays a workload under every routing policy and
+//! prints the measurements.
 
 mod demo;
 mod engine;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,10 +1,11 @@
-//! A plain service whose calls must not be repeated: a press-line alert.
+//! A non-idempotent service, such as one that raises press-line alerts: its
+//! calls must not be repeated.
 //!
 //! `POST /v1/alerts` runs the call and counts it under the request's
-//! idempotency key; the service itself does not deduplicate, so a repeat
-//! shows as a key run twice. `POST /v1/echo` runs the call too and answers its
-//! body as it came. `GET /v1/stats` answers [`Stats`];
-//! `GET /v1/runs/{key}` how often one key ran.
+//! idempotency key. The service does not deduplicate, so a repeated call is
+//! visible as a key with more than one run. `POST /v1/echo` also runs the call
+//! and returns the request body unchanged. `GET /v1/stats` returns [`Stats`];
+//! `GET /v1/runs/{key}` returns the number of runs of one key.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,14 +17,14 @@
 use crate::error::Error;
 use crate::options::ServiceOptions;
 
-/// What the service has run.
+/// Counts of the calls the service has run.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls run.
+    /// Number of calls run.
     pub calls: u64,
-    /// Distinct keys run.
+    /// Number of distinct idempotency keys.
     pub keys: u64,
-    /// Keys run more than once.
+    /// Number of keys with more than one run.
     pub repeated: u64,
 }
 
@@ -31,7 +32,7 @@
     runs: Mutex<HashMap<String, u64>>,
 }
 
-/// Serves the plain service until stopped.
+/// Serves the non-idempotent service until stopped.
 pub async fn serve(opts: ServiceOptions) -> Result<(), Error> {
     let listen = opts.listen.clone();
     let service: &'static Service = Box::leak(Box::new(Service { runs: Mutex::default() }));
@@ -52,8 +53,8 @@
     .map_err(|e| Error::Io("serve", listen, e))
 }
 
-/// Runs a call. It reads the body although it needs none of it: a server
-/// that closes with unread bytes resets the connection, answer and all.
+/// Runs a call. The body is read although it is not used: a server that closes
+/// a connection with unread bytes resets it, and the response is lost.
 async fn alert(
     service: types::State<&'static Service>,
     request: HttpRequest,
@@ -63,7 +64,7 @@
     HttpResponse::Ok().json(&serde_json::json!({ "dispatched": key }))
 }
 
-/// Runs a call and answers its body.
+/// Runs a call and returns its body.
 async fn echo(
     service: types::State<&'static Service>,
     request: HttpRequest,
@@ -74,7 +75,7 @@
 }
 
 impl Service {
-    /// Counts a call under its idempotency key, which it returns.
+    /// Counts a call under its idempotency key and returns the key.
     fn run(&self, request: &HttpRequest) -> String {
         let key = request.headers().get(IDEMPOTENCY_KEY).and_then(|v| v.to_str().ok());
         let key = key.unwrap_or("").to_owned();
@@ -83,7 +84,7 @@
     }
 }
 
-/// How often the call with idempotency key `key` ran, as a bare number.
+/// Returns the number of runs under idempotency key `key`, as plain text.
 async fn runs(service: types::State<&'static Service>, key: types::Path<String>) -> HttpResponse {
     let count = service.runs.lock().unwrap().get(key.as_str()).copied().unwrap_or(0);
     HttpResponse::Ok().body(count.to_string())
--- a/crates/standin/src/util.rs
+++ b/crates/standin/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers shared by the stand-ins.
+//! Logging setup and clock shared by the stand-ins.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/standin/tests/cli.rs
+++ b/crates/standin/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Bad settings are refused at start with a message naming the setting.
+//! Invalid settings are rejected at start with a message that names the setting.
 
 use std::process::Command;
 
@@ -18,7 +18,7 @@
 #[test_case(&["load", "--routers", "a", "--rate", "0"], &[], "--rate must be above zero" ; "zero rate")]
 #[test_case(&["load", "--routers", "a"], &[("MARJORAM_SITE", "atlantis")], "MARJORAM_SITE" ; "bad env")]
 #[test_case(&["fly"], &[], "unknown command \"fly\"" ; "unknown command")]
-fn bad_settings_are_named(args: &[&str], env: &[(&str, &str)], expected: &str) {
+fn error_names_the_invalid_setting(args: &[&str], env: &[(&str, &str)], expected: &str) {
     let (code, stderr) = standin(args, env);
     assert_eq!(code, 2, "{stderr}");
     assert!(stderr.contains(expected), "{stderr}");
