--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,11 +1,12 @@
-//! The demo: a small site on loopback, one workload under every policy.
+//! The demo: a small deployment on loopback that replays the workloads under
+//! every routing policy.
 //!
-//! It starts the log service, the host list, a plain service, `engines`
+//! It starts the log service, the host list, the service, `engines`
 //! engines and `routers` routers as separate processes, lists them in the
-//! host list, publishes templates and workspaces to the log service, then
-//! for each policy swaps every workspace onto it, waits until every router
-//! has it in force, empties the engines' caches and replays both workloads.
-//! The processes are stopped when it ends, also on error.
+//! host list and publishes templates and workspaces to the log service. For each
+//! policy it then moves every workspace to that policy, waits until every router
+//! has applied the change, clears the engines' caches and replays both workloads.
+//! The processes are killed when the demo ends, also on error.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -24,10 +25,11 @@
 
 use crate::error::Error;
 use crate::load::{self, Report};
-use crate::options::{CALLERS, DemoOptions, LoadOptions};
+use crate::options::{DEFAULT_CALLERS, DemoOptions, LoadOptions};
 
-/// Longest wait for a process to listen or a router to apply config.
-const READY: Duration = Duration::from_secs(20);
+/// Timeout for a process to listen, for the log service to accept a record and
+/// for a router to apply the configuration.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Child processes, killed when dropped.
 struct Children(Vec<Child>);
@@ -41,10 +43,10 @@
     }
 }
 
-/// Where the first engine's process sits in the list of children.
-const FIRST_ENGINE: usize = 3;
+/// Index of the first engine's process in the list of children.
+const FIRST_ENGINE_INDEX: usize = 3;
 
-/// Runs the demo and prints the table of measures.
+/// Runs the demo and prints the table of measurements.
 pub async fn run(opts: DemoOptions) -> Result<(), Error> {
     let dir = std::env::current_exe()
         .map_err(|e| Error::Io("find", "own binary".into(), e))?
@@ -55,7 +57,7 @@
     let router = dir.join("marjoram");
     if !router.exists() {
         return Err(Error::Usage(format!(
-            "{} is missing; build both binaries first",
+            "{} not found; build both binaries first",
             router.display()
         )));
     }
@@ -99,7 +101,7 @@
                 offset = publish(&client, &log, &record).await?;
             }
         }
-        wait_in_force(&client, &routers, offset).await?;
+        wait_config_applied(&client, &routers, offset).await?;
         for site_kind in [Site::Kilimanjaro, Site::LoneStar] {
             clear_caches(&client, &engines).await?;
             let load = LoadOptions {
@@ -107,25 +109,25 @@
                 site: site_kind,
                 calls: opts.calls,
                 rate: opts.rate,
-                callers: CALLERS,
+                callers: DEFAULT_CALLERS,
                 deadline_ms: opts.deadline_ms,
                 seed: opts.seed,
                 service: Some(service.clone()),
                 horizon_ms: 10_000,
             };
-            let span = Duration::from_secs_f64(opts.calls as f64 / opts.rate as f64);
-            let chaos = opts.faults.then(|| {
-                let fault = Fault {
+            let run_duration = Duration::from_secs_f64(opts.calls as f64 / opts.rate as f64);
+            let fault_task = opts.faults.then(|| {
+                let fault = FaultInjection {
                     site: site.clone(),
                     standin: standin.clone(),
                     engine: engines[0].clone(),
                     log: log.clone(),
                 };
-                ntex::rt::spawn(fault.run(span))
+                ntex::rt::spawn(fault.run(run_duration))
             });
             let report = load::run(load).await?;
-            if let Some(chaos) = chaos {
-                let _ = chaos.await;
+            if let Some(fault_task) = fault_task {
+                let _ = fault_task.await;
             }
             eprintln!(
                 "demo: {policy} on {site_kind}: {:.1}% hit rate.",
@@ -139,31 +141,31 @@
     Ok(())
 }
 
-/// The faults of `--faults`: an engine killed and started again, then a
-/// log-service outage, within each load run.
-struct Fault {
+/// The faults that `--faults` injects into each load run: an engine is killed
+/// and restarted, then the log service is unavailable.
+struct FaultInjection {
     site: Rc<RefCell<Children>>,
     standin: PathBuf,
     engine: String,
     log: String,
 }
 
-impl Fault {
-    async fn run(self, span: Duration) {
-        ntex::time::sleep(span / 3).await;
+impl FaultInjection {
+    async fn run(self, run_duration: Duration) {
+        ntex::time::sleep(run_duration / 3).await;
         eprintln!("demo: killing engine {}.", self.engine);
         {
             let mut site = self.site.borrow_mut();
-            let _ = site.0[FIRST_ENGINE].kill();
-            let _ = site.0[FIRST_ENGINE].wait();
+            let _ = site.0[FIRST_ENGINE_INDEX].kill();
+            let _ = site.0[FIRST_ENGINE_INDEX].wait();
         }
         ntex::time::sleep(Duration::from_secs(1)).await;
         match spawn(&self.standin, &["engine", "--listen", &self.engine, "--seed", "99"]) {
-            Ok(child) => self.site.borrow_mut().0[FIRST_ENGINE] = child,
-            Err(error) => eprintln!("demo: engine {} did not start again: {error}.", self.engine),
+            Ok(child) => self.site.borrow_mut().0[FIRST_ENGINE_INDEX] = child,
+            Err(error) => eprintln!("demo: engine {} did not restart: {error}.", self.engine),
         }
-        ntex::time::sleep(span / 3).await;
-        eprintln!("demo: ordering a 1 s outage of the log service.");
+        ntex::time::sleep(run_duration / 3).await;
+        eprintln!("demo: injecting a 1 s outage of the log service.");
         let client = Client::new();
         let _ = client.post(format!("http://{}/v1/admin/outage?ms=1000", self.log)).send().await;
     }
@@ -180,7 +182,7 @@
 }
 
 async fn wait_listening(addr: &str) -> Result<(), Error> {
-    let deadline = Instant::now() + READY;
+    let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
         if TcpStream::connect(addr).is_ok() {
             return Ok(());
@@ -224,9 +226,9 @@
     Ok(())
 }
 
-/// Publishes `record`, trying again while the log service is down.
+/// Publishes `record`, with retries while the log service is unavailable.
 async fn publish(client: &Client, log: &str, record: &Record) -> Result<Offset, Error> {
-    let deadline = Instant::now() + READY;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
         match publish_once(client, log, record).await {
             Ok(offset) => return Ok(offset),
@@ -251,8 +253,12 @@
     Ok(appended.offset)
 }
 
-async fn wait_in_force(client: &Client, routers: &[String], offset: Offset) -> Result<(), Error> {
-    let deadline = Instant::now() + READY;
+async fn wait_config_applied(
+    client: &Client,
+    routers: &[String],
+    offset: Offset,
+) -> Result<(), Error> {
+    let deadline = Instant::now() + READY_TIMEOUT;
     for router in routers {
         loop {
             let state = get_state(client, router).await;
@@ -265,7 +271,7 @@
                 return Err(Error::Peer(
                     "apply config",
                     router.clone(),
-                    format!("offset {offset} not in force after 20 s"),
+                    format!("offset {offset} not applied after 20 s"),
                 ));
             }
             ntex::time::sleep(Duration::from_millis(50)).await;
@@ -292,7 +298,7 @@
     Ok(())
 }
 
-/// The table of measures, one row per policy and workload.
+/// Formats the table of measurements, one row per policy and workload.
 fn render(table: &[(PolicyName, Report)]) -> String {
     let mut out = String::new();
     let _ = writeln!(
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,13 +1,13 @@
-//! The load tool: replays a seeded workload against routers and reports
-//! the measures of the brief.
+//! The load generator: replays a seeded workload against routers and reports
+//! the measurements.
 //!
-//! A number of callers take turns. Each asks a router which entry host to
-//! use (there is no balancer), keeps the answer as long as it may, and asks
-//! again when its router cannot be reached. Calls are sent at their times;
-//! every answer is read whole and checked: chunks must carry the request's
-//! own id in sequence, and a refusal must say whether the call ran. Alerts
-//! go to the plain service through the router with an idempotency key; the
-//! service's own counts tell repeats.
+//! A number of callers make the calls in turn. Each asks a router for the entry
+//! host to use (there is no load balancer), caches the answer for its TTL, and
+//! asks again when its router is unreachable. Calls are sent on a fixed schedule.
+//! Every response is read to its end and checked: chunks must have the request's
+//! own id and be in sequence, and a refusal must state whether the call ran.
+//! Alerts go to the service through the router with an idempotency key; repeated
+//! calls are taken from the service's own counts.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -27,14 +27,14 @@
 use crate::options::LoadOptions;
 use crate::service::Stats;
 
-/// What one load run measured.
+/// The measurements of one load run.
 #[derive(Debug)]
 pub struct Report {
     /// The workload.
     pub site: Site,
-    /// The totals.
+    /// Totals over all calls.
     pub measures: Measures,
-    /// Alerts sent.
+    /// Number of alerts sent.
     pub alerts: u64,
     /// Wall time of the run.
     pub elapsed: Duration,
@@ -61,17 +61,17 @@
     }
 }
 
-/// One caller: the router it was told to use, until when.
+/// One caller, with the router assigned to it and the expiry of that assignment.
 #[derive(Debug, Default)]
 struct Caller {
-    told: RefCell<Option<(String, Instant)>>,
+    assigned: RefCell<Option<(String, Instant)>>,
 }
 
 impl Caller {
-    /// The router to use now.
+    /// Returns the router to use now; asks for one when none is assigned.
     async fn router(&self, client: &Client, routers: &[String], name: usize) -> Option<String> {
-        let told = self.told.borrow().clone();
-        if let Some((router, _)) = told.filter(|(_, until)| Instant::now() < *until) {
+        let assigned = self.assigned.borrow().clone();
+        if let Some((router, _)) = assigned.filter(|(_, until)| Instant::now() < *until) {
             return Some(router);
         }
         let answer = match ask_route(client, routers, name).await {
@@ -82,26 +82,27 @@
             }
         };
         let until = Instant::now() + Duration::from_millis(answer.ttl_ms);
-        *self.told.borrow_mut() = Some((answer.addr.clone(), until));
+        *self.assigned.borrow_mut() = Some((answer.addr.clone(), until));
         Some(answer.addr)
     }
 
-    /// Forgets the router told: it could not be reached.
+    /// Drops the assigned router, which could not be reached.
     fn forget(&self) {
-        *self.told.borrow_mut() = None;
+        *self.assigned.borrow_mut() = None;
     }
 }
 
+/// State of one load run, shared by its calls.
 struct Run {
     /// Prefix of this run's idempotency keys, so runs never share keys.
     nonce: u64,
     measures: Measures,
     refused_keys: Vec<String>,
-    seen: Seen,
+    recent_blocks: Seen,
     alerts: u64,
 }
 
-/// Runs the workload and returns what was measured.
+/// Runs the workload and returns the measurements.
 pub async fn run(opts: LoadOptions) -> Result<Report, Error> {
     let client = Client::build().timeout(ntex::time::Seconds(60)).finish();
     ask_route(&client, &opts.routers, 0).await?;
@@ -112,15 +113,15 @@
         nonce: rand::random(),
         refused_keys: Vec::new(),
         measures: Measures::new(),
-        seen: Seen::new(Duration::from_millis(opts.horizon_ms)),
+        recent_blocks: Seen::new(Duration::from_millis(opts.horizon_ms)),
         alerts: 0,
     }));
     let before = service_stats(&client, opts.service.as_deref()).await;
     let start = Instant::now();
-    let gap = Duration::from_secs_f64(1.0 / opts.rate as f64);
+    let interval = Duration::from_secs_f64(1.0 / opts.rate as f64);
     let mut tasks = Vec::new();
     for (index, call) in Workload::new(opts.site, opts.seed, opts.calls).enumerate() {
-        let due = start + gap * index as u32;
+        let due = start + interval * index as u32;
         let now = Instant::now();
         if due > now {
             ntex::time::sleep(due - now).await;
@@ -159,7 +160,7 @@
 
 /// Asks routers in turn, as caller `name`, which router to use.
 async fn ask_route(client: &Client, routers: &[String], name: usize) -> Result<RouteAnswer, Error> {
-    let mut last = String::from("no router given");
+    let mut last_error = String::from("no router configured");
     for router in routers {
         let url = format!("http://{router}/v1/route?caller=caller-{name}");
         match client.get(&url).send().await {
@@ -171,11 +172,11 @@
                 return serde_json::from_slice(&body)
                     .map_err(|e| Error::Peer("route", router.clone(), e.to_string()));
             }
-            Ok(response) => last = format!("{router}: status {}", response.status()),
-            Err(error) => last = format!("{router}: {error}"),
+            Ok(response) => last_error = format!("{router}: status {}", response.status()),
+            Err(error) => last_error = format!("{router}: {error}"),
         }
     }
-    Err(Error::Peer("route", routers.join(","), last))
+    Err(Error::Peer("route", routers.join(","), last_error))
 }
 
 async fn service_stats(client: &Client, service: Option<&str>) -> Option<Stats> {
@@ -184,7 +185,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// Sends one call; false when the router could not be reached.
+/// Sends one call; returns false when the router could not be reached.
 async fn send(
     client: &Client,
     router: &str,
@@ -235,17 +236,17 @@
     };
     if !response.status().is_success() {
         let body = response.body().await.unwrap_or_default();
-        refused(run, &body);
+        count_refusal(run, &body);
         return true;
     }
     let mut events = response.eventsource();
     let mut first = None;
-    let mut expected = 0u32;
+    let mut next_seq = 0u32;
     let mut id = None;
     while let Some(Ok(event)) = events.next().await {
         match (event.event.as_str(), event.data.as_str()) {
             ("error", data) => {
-                tracing::info!(target: "load", "load: answer ended with an error: {data}.");
+                tracing::info!(target: "load", "load: response ended with an error event: {data}.");
                 break;
             }
             (_, "[DONE]") => break,
@@ -254,16 +255,19 @@
                     break;
                 };
                 first.get_or_insert_with(|| sent.elapsed());
-                let ours = *id.get_or_insert(chunk.id);
-                if chunk.id != ours || chunk.seq != expected {
+                let request_id = *id.get_or_insert(chunk.id);
+                if chunk.id != request_id || chunk.seq != next_seq {
                     run.borrow_mut().measures.repeated += 1;
                     return true;
                 }
-                expected += 1;
+                next_seq += 1;
                 if let Some(usage) = chunk.usage {
                     let mut run = run.borrow_mut();
-                    let wasted =
-                        run.seen.finished(&prefix.blocks, usage.cached_tokens.0, Instant::now());
+                    let wasted = run.recent_blocks.finished(
+                        &prefix.blocks,
+                        usage.cached_tokens.0,
+                        Instant::now(),
+                    );
                     let m = &mut run.measures;
                     m.answered += 1;
                     m.prompt += usage.prompt_tokens.0;
@@ -287,7 +291,7 @@
         Ok(response) if response.status().is_success() => {}
         Ok(mut response) => {
             let body = response.body().await.unwrap_or_default();
-            if refused(run, &body) {
+            if count_refusal(run, &body) {
                 run.borrow_mut().refused_keys.push(key.to_string());
             }
         }
@@ -300,8 +304,8 @@
     true
 }
 
-/// Counts a refusal; true when it said "not run".
-fn refused(run: &RefCell<Run>, body: &[u8]) -> bool {
+/// Counts a refused call; returns true when the response says that it did not run.
+fn count_refusal(run: &RefCell<Run>, body: &[u8]) -> bool {
     let mut run = run.borrow_mut();
     match serde_json::from_slice::<ErrorBody>(body) {
         Ok(error) if error.error.not_run => {
@@ -317,7 +321,7 @@
     }
 }
 
-/// Refusals that said "not run" for calls the service did run.
+/// Counts the refusals reported as "not run" for calls that the service did run.
 async fn false_refusals(client: &Client, service: &str, keys: &[String]) -> u64 {
     let mut count = 0;
     for key in keys {
--- a/crates/standin/src/options.rs
+++ b/crates/standin/src/options.rs
@@ -1,7 +1,7 @@
 //! Command line of `marjoram-standin`: one subcommand per stand-in.
 //!
-//! Every flag may also be given as an environment variable named
-//! `MARJORAM_` and the flag in upper case with `-` as `_`; the flag wins.
+//! Every flag can also be set by an environment variable: `MARJORAM_` followed by
+//! the flag in upper case with `_` for `-`. The flag takes precedence.
 
 use std::str::FromStr;
 
@@ -11,20 +11,20 @@
 
 use crate::error::Error;
 
-/// Callers of the load tool unless set.
-pub const CALLERS: usize = 16;
+/// Default number of callers of the load generator.
+pub const DEFAULT_CALLERS: usize = 16;
 
 const USAGE: &str = "\
 Usage: marjoram-standin COMMAND [OPTIONS]
 
 Commands:
-  demo      start a small site (stand-ins and two routers), replay a workload
-            under every policy and print the measures
+  demo      start a small deployment (stand-ins and two routers), replay a
+            workload under every policy and print the measurements
   engine    a model engine with a prefix cache
   log       the log service: append-only streams with offsets
-  hosts     the host list, answering with a lag
-  service   a plain service whose calls must not be repeated
-  load      replay a seeded workload against routers and print the measures
+  hosts     the host list, served with a delay
+  service   a non-idempotent service whose calls must not be repeated
+  load      replay a seeded workload against routers and print the measurements
 
 Run 'marjoram-standin COMMAND --help' for the options of one command.
 ";
@@ -36,17 +36,17 @@
     pub listen: String,
     /// Cache capacity in blocks.
     pub capacity: usize,
-    /// Milliseconds a block stays cached unused.
+    /// Milliseconds an unused block stays cached.
     pub idle_ms: u64,
     /// Microseconds of compute per uncached prompt token.
     pub prefill_us: u64,
-    /// Milliseconds a step of the batch takes at the least.
+    /// Minimum duration of a batch step, in milliseconds.
     pub decode_ms: u64,
-    /// Microseconds each token made adds to its step.
+    /// Microseconds each generated token adds to its step.
     pub batch_us: u64,
-    /// Prompt tokens read in one step at the most.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub chunk: u64,
-    /// Requests in the batch at once.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
     /// Share of cache events lost, from 0 to 1.
     pub event_loss: f64,
@@ -54,15 +54,17 @@
     pub event_lag_ms: u64,
     /// Milliseconds between load reports.
     pub load_lag_ms: u64,
-    /// Whether orders with an old fencing token are refused.
+    /// Whether weights orders with an old fencing token are rejected.
     pub fenced: bool,
     /// Milliseconds loading weights takes.
     pub weights_ms: u64,
-    /// Refuse every request as not executed, as a full engine does.
+    /// Refuse every request as not executed, as an engine at capacity does.
     pub refuse: bool,
-    /// Crash once a prompt with this text begins to run; none if empty.
+    /// Crash when a request whose prompt contains this text is admitted; never if
+    /// empty.
     pub crash_on: String,
-    /// Mix up every answer of this number; 0 for none.
+    /// Send the first chunk of every Nth response under another request's id; 0
+    /// for none.
     pub cross_every: u64,
     /// Seed for event loss.
     pub seed: u64,
@@ -73,9 +75,9 @@
 pub struct LogOptions {
     /// Address to listen on.
     pub listen: String,
-    /// Appends a second over all streams before 429.
+    /// Appends per second, over all streams, beyond which appends get 429.
     pub rate: u32,
-    /// Seconds a record is kept.
+    /// Seconds a record is retained.
     pub retention_s: u64,
 }
 
@@ -88,52 +90,52 @@
     pub lag_ms: u64,
 }
 
-/// Settings of the plain service stand-in.
+/// Settings of the non-idempotent service stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
     /// Address to listen on.
     pub listen: String,
 }
 
-/// Settings of the load tool.
+/// Settings of the load generator.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Routers to ask which entry host to use.
+    /// Routers to ask for the entry host to use.
     pub routers: Vec<String>,
-    /// Which workload.
+    /// The workload to replay.
     pub site: Site,
-    /// Calls to make.
+    /// Number of calls to make.
     pub calls: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
-    /// Callers taking turns.
+    /// Number of callers, used in turn.
     pub callers: usize,
     /// Workload seed.
     pub seed: u64,
     /// Deadline for the first token, in milliseconds, if any.
     pub deadline_ms: Option<u64>,
-    /// Address of the plain service, to count repeated calls.
+    /// Address of the non-idempotent service, to count repeated calls.
     pub service: Option<String>,
-    /// Milliseconds a block counts as held after it was computed.
+    /// Milliseconds a block counts as cached after it was computed.
     pub horizon_ms: u64,
 }
 
 /// Settings of the demo.
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
-    /// Calls per policy and site.
+    /// Calls per policy and workload.
     pub calls: u64,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
-    /// Engines to start.
+    /// Number of engines to start.
     pub engines: usize,
-    /// Routers to start.
+    /// Number of routers to start.
     pub routers: usize,
-    /// First port to use; the demo takes the ports after it.
+    /// First port to use; the demo also uses the ports after it.
     pub port: u16,
     /// Workload seed.
     pub seed: u64,
-    /// Kill an engine and cut the log service during each run.
+    /// Kill an engine and make the log service unavailable during each run.
     pub faults: bool,
     /// Deadline for the first token, in milliseconds, if any.
     pub deadline_ms: Option<u64>,
@@ -144,7 +146,7 @@
 /// A parsed command line.
 #[derive(Debug)]
 pub enum Command {
-    /// Print this text and stop.
+    /// Print this text and exit.
     Help(String),
     /// Run an engine.
     Engine(EngineOptions),
@@ -152,9 +154,9 @@
     Log(LogOptions),
     /// Run the host list.
     Hosts(HostsOptions),
-    /// Run the plain service.
+    /// Run the non-idempotent service.
     Service(ServiceOptions),
-    /// Run the load tool.
+    /// Run the load generator.
     Load(LoadOptions),
     /// Run the demo.
     Demo(DemoOptions),
@@ -184,20 +186,30 @@
 fn engine(mut opts: Options, args: &[String]) -> Result<Command, Error> {
     opts.optopt("", "listen", "address to listen on", "ADDR");
     opts.optopt("", "capacity", "cache capacity in blocks [2000]", "N");
-    opts.optopt("", "idle-ms", "ms a block stays cached unused [10000]", "MS");
+    opts.optopt("", "idle-ms", "ms an unused block stays cached [10000]", "MS");
     opts.optopt("", "prefill-us", "us of compute per uncached token [40]", "US");
-    opts.optopt("", "decode-ms", "ms a step takes at the least [4]", "MS");
-    opts.optopt("", "batch-us", "us each token made adds to its step [100]", "US");
-    opts.optopt("", "chunk", "prompt tokens read in one step at most [512]", "N");
-    opts.optopt("", "slots", "requests in the batch at once [16]", "N");
+    opts.optopt("", "decode-ms", "minimum ms per batch step [4]", "MS");
+    opts.optopt("", "batch-us", "us each generated token adds to its step [100]", "US");
+    opts.optopt("", "chunk", "most prompt tokens prefilled in one step [512]", "N");
+    opts.optopt("", "slots", "most requests in the batch [16]", "N");
     opts.optopt("", "event-loss", "share of cache events lost [0.05]", "P");
     opts.optopt("", "event-lag-ms", "ms before an event is published [200]", "MS");
     opts.optopt("", "load-lag-ms", "ms between load reports [500]", "MS");
-    opts.optopt("", "fenced", "refuse orders with an old fencing token [true]", "BOOL");
+    opts.optopt("", "fenced", "reject weights orders with an old fencing token [true]", "BOOL");
     opts.optopt("", "weights-ms", "ms loading weights takes [200]", "MS");
-    opts.optopt("", "refuse", "refuse every request, as a full engine does [false]", "BOOL");
-    opts.optopt("", "crash-on", "crash under prompts with this text []", "TEXT");
-    opts.optopt("", "cross-every", "mix up every Nth answer; 0 for none [0]", "N");
+    opts.optopt(
+        "",
+        "refuse",
+        "refuse every request, as an engine at capacity does [false]",
+        "BOOL",
+    );
+    opts.optopt("", "crash-on", "crash when running a prompt that contains this text []", "TEXT");
+    opts.optopt(
+        "",
+        "cross-every",
+        "send the first chunk of every Nth response under another id; 0 for none [0]",
+        "N",
+    );
     opts.optopt("", "seed", "seed for event loss [1]", "N");
     let m = matches(&opts, args, "engine")?;
     if m.opt_present("help") {
@@ -226,8 +238,8 @@
 
 fn log(mut opts: Options, args: &[String]) -> Result<Command, Error> {
     opts.optopt("", "listen", "address to listen on", "ADDR");
-    opts.optopt("", "rate", "appends a second before 429 [400]", "N");
-    opts.optopt("", "retention-s", "seconds a record is kept [3600]", "S");
+    opts.optopt("", "rate", "appends per second before 429 [400]", "N");
+    opts.optopt("", "retention-s", "seconds a record is retained [3600]", "S");
     let m = matches(&opts, args, "log")?;
     if m.opt_present("help") {
         return Ok(Command::Help(opts.usage("Usage: marjoram-standin log [OPTIONS]")));
@@ -265,12 +277,17 @@
     opts.optopt("", "routers", "comma-separated router addresses", "ADDRS");
     opts.optopt("", "site", "kilimanjaro or lone-star [kilimanjaro]", "SITE");
     opts.optopt("", "calls", "calls to make [400]", "N");
-    opts.optopt("", "rate", "calls a second [40]", "N");
-    opts.optopt("", "callers", "callers taking turns [16]", "N");
+    opts.optopt("", "rate", "calls per second [40]", "N");
+    opts.optopt("", "callers", "number of callers, used in turn [16]", "N");
     opts.optopt("", "seed", "workload seed [1]", "N");
-    opts.optopt("", "deadline-ms", "ms to the first token, named to the router [none]", "MS");
-    opts.optopt("", "service", "plain service address, to count repeats", "ADDR");
-    opts.optopt("", "horizon-ms", "ms a computed block counts as held [10000]", "MS");
+    opts.optopt(
+        "",
+        "deadline-ms",
+        "deadline for the first token in ms, sent to the router [none]",
+        "MS",
+    );
+    opts.optopt("", "service", "service address, to count repeated calls", "ADDR");
+    opts.optopt("", "horizon-ms", "ms a computed block counts as cached [10000]", "MS");
     let m = matches(&opts, args, "load")?;
     if m.opt_present("help") {
         return Ok(Command::Help(opts.usage("Usage: marjoram-standin load [OPTIONS]")));
@@ -281,7 +298,7 @@
         site: setting(&m, "site", Site::Kilimanjaro)?,
         calls: setting(&m, "calls", 400)?,
         rate: positive(setting(&m, "rate", 40)?, "rate")?,
-        callers: positive(setting(&m, "callers", CALLERS)?, "callers")?,
+        callers: positive(setting(&m, "callers", DEFAULT_CALLERS)?, "callers")?,
         seed: setting(&m, "seed", 1)?,
         deadline_ms: optional(&m, "deadline-ms")?,
         service: optional(&m, "service")?,
@@ -290,15 +307,20 @@
 }
 
 fn demo(mut opts: Options, args: &[String]) -> Result<Command, Error> {
-    opts.optopt("", "calls", "calls per policy and site [300]", "N");
-    opts.optopt("", "rate", "calls a second [60]", "N");
+    opts.optopt("", "calls", "calls per policy and workload [300]", "N");
+    opts.optopt("", "rate", "calls per second [60]", "N");
     opts.optopt("", "engines", "engines to start [6]", "N");
     opts.optopt("", "routers", "routers to start [2]", "N");
     opts.optopt("", "port", "first port; the demo uses the next 20 [17100]", "PORT");
     opts.optopt("", "seed", "workload seed [1]", "N");
-    opts.optopt("", "deadline-ms", "ms to the first token, named to the routers [none]", "MS");
+    opts.optopt(
+        "",
+        "deadline-ms",
+        "deadline for the first token in ms, sent to the routers [none]",
+        "MS",
+    );
     opts.optopt("", "policies", "comma-separated policies to run [all]", "NAMES");
-    opts.optflag("", "faults", "kill an engine and cut the log service in each run");
+    opts.optflag("", "faults", "kill an engine and make the log service unavailable in each run");
     let m = matches(&opts, args, "demo")?;
     if m.opt_present("help") {
         return Ok(Command::Help(opts.usage("Usage: marjoram-standin demo [OPTIONS]")));
@@ -316,7 +338,7 @@
     }))
 }
 
-/// The policies named by `--policies`; all of them unless set.
+/// Returns the policies given by `--policies`; all of them by default.
 fn policies(m: &Matches) -> Result<Vec<PolicyName>, Error> {
     let Some(names) = optional::<String>(m, "policies")? else {
         return Ok(PolicyName::ALL.to_vec());
@@ -329,14 +351,14 @@
     opts.parse(args).map_err(|e| Error::Usage(format!("{command}: {e}; see --help")))
 }
 
-/// The flag's value, else its environment variable, if either is set.
+/// Returns the value of a flag or else of its environment variable, if set.
 fn optional<T: FromStr>(m: &Matches, name: &str) -> Result<Option<T>, Error> {
     let var = format!("MARJORAM_{}", name.to_uppercase().replace('-', "_"));
     let text = m.opt_str(name).or_else(|| std::env::var(&var).ok());
     match text {
         None => Ok(None),
         Some(text) => text.parse().map(Some).map_err(|_| {
-            Error::Usage(format!("setting --{name} (or {var}): cannot read {text:?}"))
+            Error::Usage(format!("setting --{name} (or {var}): invalid value {text:?}"))
         }),
     }
 }
