--- a/crates/router/benches/added_latency.rs
+++ b/crates/router/benches/added_latency.rs
@@ -1,6 +1,6 @@
-//! Latency the router adds on loopback: one whole (non-streamed)
-//! completion of one token, sent straight to an engine stand-in that
-//! computes nothing, against the same request through a router.
+//! Measures the latency the router adds on loopback: one non-streamed completion
+//! of one token, sent directly to an engine stand-in with no compute time,
+//! compared with the same request through a router.
 //!
 //! Needs both binaries built first:
 //! `cargo build --release && cargo bench -p marjoram --bench added_latency`.
@@ -14,8 +14,10 @@
 use marjoram_core::wire::{EngineRequest, HostEntry, HostState, Role};
 use ntex::http::client::Client;
 
-const BASE: u16 = 23_900;
+/// First port of the processes under test.
+const FIRST_PORT: u16 = 23_900;
 
+/// Child processes, killed when dropped.
 struct Children(Vec<Child>);
 
 impl Drop for Children {
@@ -37,10 +39,10 @@
     Command::new(program).args(args).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap()
 }
 
-fn wait(addr: &str) {
+fn wait_listening(addr: &str) {
     let deadline = Instant::now() + Duration::from_secs(10);
     while TcpStream::connect(addr).is_err() {
-        assert!(Instant::now() < deadline, "{addr} not listening");
+        assert!(Instant::now() < deadline, "{addr} not listening after 10 s");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -64,13 +66,13 @@
         if ok.is_ok_and(|r| r.status().is_success()) {
             return;
         }
-        assert!(Instant::now() < deadline, "router never served");
+        assert!(Instant::now() < deadline, "router did not serve a request within 10 s");
         ntex::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 fn added_latency(c: &mut Criterion) {
-    let addr = |n: u16| format!("127.0.0.1:{}", BASE + n);
+    let addr = |n: u16| format!("127.0.0.1:{}", FIRST_PORT + n);
     let (log, hosts, engine, router) = (addr(0), addr(1), addr(2), addr(3));
     let standin = binary("marjoram-standin");
     let _children = Children(vec![
@@ -83,7 +85,7 @@
         ),
     ]);
     for a in [&log, &hosts, &engine, &router] {
-        wait(a);
+        wait_listening(a);
     }
     let names = (log.clone(), hosts.clone(), engine.clone(), router.clone());
     ntex::rt::System::new("setup").block_on(setup(names.0, names.1, names.2, names.3));
--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Promises: a call that may not be repeated runs at most once, and a
-//! refusal saying "not run" is true — on real processes.
+//! Guarantees, tested with real processes: a non-idempotent call runs at most
+//! once, and a call refused as "not run" has not run.
 
 #[path = "support/site.rs"]
 mod site;
@@ -31,7 +31,7 @@
     stats["calls"].as_u64().unwrap()
 }
 
-async fn services_known(site: &Site) {
+async fn wait_services_listed(site: &Site) {
     for router in &site.routers {
         wait_for(|| async {
             site::state(router).await?["services"].as_array()?.first().map(|_| ())
@@ -41,10 +41,10 @@
 }
 
 #[test]
-fn retry_on_another_router_replays_instead_of_running_again() {
+fn retry_on_another_router_replays_the_outcome_and_does_not_run_the_call_again() {
     let site = Site::start(1, 2, &[]);
     run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         let (status, body, replayed) = alert(&site.routers[0], "line-4-alert-1").await;
         assert_eq!(status, 200, "{body}");
         assert!(!replayed);
@@ -57,17 +57,17 @@
 }
 
 #[test]
-fn log_outage_refuses_as_not_run_and_runs_nothing() {
+fn call_during_a_log_outage_is_refused_as_not_run_and_does_not_run() {
     let site = Site::start(1, 1, &[]);
     run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         client().post(format!("http://{}/v1/admin/outage?ms=1000", site.log)).send().await.unwrap();
         let (status, body, _) = alert(&site.routers[0], "sync-rev-b").await;
         assert_eq!(status, 503, "{body}");
         let refusal: ErrorBody = serde_json::from_str(&body).unwrap();
         assert!(refusal.error.not_run);
         assert_eq!(refusal.error.step, "append claim");
-        assert_eq!(runs(&site.service).await, 0, "not run is true");
+        assert_eq!(runs(&site.service).await, 0, "a call refused as not run has not run");
         ntex::time::sleep(Duration::from_millis(1100)).await;
         let (status, body, _) = alert(&site.routers[0], "sync-rev-b").await;
         assert_eq!(status, 200, "after the outage the call runs: {body}");
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn service_refusing_connections_is_not_run_and_can_be_retried() {
+fn call_to_a_service_that_refuses_connections_is_not_run_and_can_be_retried() {
     let mut site = Site::start(1, 1, &[]);
     site.kill("service");
     let router = site.routers[0].clone();
     let mut site = run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         let (status, body, _) = alert(&router, "dispatch-9").await;
         assert_eq!(status, 503, "{body}");
         let refusal: ErrorBody = serde_json::from_str(&body).unwrap();
@@ -96,16 +96,16 @@
     });
 }
 
-/// A call whose claim the log took and never acknowledged, or took late, is
-/// refused as not run, does not run, and can be called again.
+/// When the log service appends a claim without acknowledging it, or appends it
+/// late, the call is refused as not run, does not run, and can be retried.
 #[test_case::test_case("lose?stream=claims&count=1" ; "answer lost")]
 #[test_case::test_case("lose?stream=claims&count=1&late_ms=2500" ; "carried out after the abandon")]
 fn unacknowledged_claim_is_not_run_and_can_be_retried(fault: &str) {
     let site = Site::start(1, 2, &[]);
     let fault = fault.to_string();
     run(async move {
-        services_known(&site).await;
-        site.log_fault(&fault).await;
+        wait_services_listed(&site).await;
+        site.inject_log_fault(&fault).await;
         let (status, body, _) = alert(&site.routers[0], "line-2-alert-8").await;
         assert_eq!(status, 503, "{body}");
         let refusal: ErrorBody = serde_json::from_str(&body).unwrap();
@@ -113,26 +113,29 @@
         assert_eq!(runs(&site.service).await, 0);
         ntex::time::sleep(Duration::from_millis(1000)).await;
         let (status, body, _) = alert(&site.routers[1], "line-2-alert-8").await;
-        assert_eq!(status, 200, "given up unsent, so free again: {body}");
+        assert_eq!(
+            status, 200,
+            "the claim was abandoned before sending, so the key can be used again: {body}"
+        );
         assert_eq!(runs(&site.service).await, 1);
     });
 }
 
-/// A router that starts after old claims have expired still takes calls.
+/// A router that starts after old claims have expired accepts calls.
 #[test]
-fn calls_go_on_after_old_claims_have_expired() {
+fn restarted_router_accepts_calls_after_old_claims_have_expired() {
     let site = Site::start(1, 1, &[]);
     let mut site = run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         assert_eq!(alert(&site.routers[0], "old").await.0, 200);
-        site.log_fault("expire?stream=claims").await;
+        site.inject_log_fault("expire?stream=claims").await;
         site
     });
     site.kill("router0");
     site.start_router(0);
     site::wait_listening(&site.routers[0]);
     run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         let (status, body, _) = alert(&site.routers[0], "new").await;
         assert_eq!(status, 200, "{body}");
         let (status, again, replayed) = alert(&site.routers[0], "new").await;
@@ -140,13 +143,13 @@
     });
 }
 
-/// A drawing is not text: its answer comes back byte for byte, live and
-/// replayed, with its content type.
+/// A response that is not text, such as a drawing, is returned byte for byte with
+/// its content type, both directly and when replayed.
 #[test]
-fn answers_are_kept_byte_for_byte() {
+fn binary_responses_are_replayed_byte_for_byte() {
     let site = Site::start(1, 2, &[]);
     run(async move {
-        services_known(&site).await;
+        wait_services_listed(&site).await;
         let drawing: Vec<u8> = (0..=255).collect();
         for (router, replayed) in [(0, "false"), (1, "true")] {
             let mut response = client()
@@ -164,8 +167,9 @@
     });
 }
 
-/// A service that reads a call and ends without an answer, as one that crashes
-/// under it; counts the calls.
+/// Starts a service that reads a call and closes the connection without a
+/// response, as one that crashes while running it does. Returns its address and
+/// the counter of its calls.
 fn crashing_service() -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (addr, calls) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
@@ -181,16 +185,18 @@
     (addr.to_string(), calls)
 }
 
-/// The client reports a connection that ends without an answer like one that
-/// could not be opened ("Connector has been disconnected"), so a call that a
-/// service had run was sent to the next one, and refused as not run:
+/// Guards against a call that runs at several services. The HTTP client reports a
+/// connection that closes without a response like one that could not be opened
+/// ("Connector has been disconnected"). When the router takes that for an unsent
+/// call, it sends a call that a service has run to the next service, and refuses
+/// it as not run:
 ///
 /// ```text
-/// engine: crashing under request 17414282481498062848.
+/// engine: crashing while running request 17414282481498062848.
 /// forward: send to engine 127.0.0.1:26410: refused: Connector has been disconnected
 /// ```
 #[test]
-fn a_call_under_which_a_service_ends_is_sent_to_no_other() {
+fn call_is_not_sent_to_another_service_when_the_first_crashes_while_running_it() {
     let site = Site::start(1, 1, &[]);
     let services = [crashing_service(), crashing_service()];
     run(async move {
--- a/crates/router/tests/keeper.rs
+++ b/crates/router/tests/keeper.rs
@@ -1,7 +1,7 @@
-//! Promises: an accepted configuration (here: the weights named) is in force
-//! everywhere and never reverts; duties have one holder at a time. The
-//! keeper is killed or paused past its lease, and engines that check fencing
-//! tokens stand beside engines that do not.
+//! Guarantees: an accepted configuration (here: the weights version announced) is
+//! applied everywhere and never reverts, and weights rollouts have one lease
+//! holder at a time. The lease holder is killed or paused past its lease. Some
+//! tests use engines that check fencing tokens and others engines that do not.
 
 #[path = "support/site.rs"]
 mod site;
@@ -11,8 +11,9 @@
 use serde_json::Value;
 use site::{Site, client, completion, post, run, state, wait_for};
 
-/// Which router is the keeper, by its own word.
-async fn keeper(site: &Site, among: &[usize]) -> usize {
+/// Waits until one of the routers `among` reports that it holds the lease, and
+/// returns its index.
+async fn lease_holder(site: &Site, among: &[usize]) -> usize {
     wait_for(|| async {
         for &i in among {
             let dump = state(&site.routers[i]).await?;
@@ -25,7 +26,8 @@
     .await
 }
 
-/// Orders an engine has received: version, fencing token, obeyed.
+/// Returns the weights orders an engine has received: version, fencing token,
+/// whether accepted.
 async fn orders(engine: &str) -> Vec<(u64, u64, bool)> {
     let url = format!("http://{engine}/v1/admin/orders");
     let body = client().get(url).send().await.unwrap().body().await.unwrap();
@@ -36,7 +38,7 @@
         .collect()
 }
 
-/// Waits until router `i` sees every engine serve `version`.
+/// Waits until router `i` reports that every engine serves `version`.
 async fn wait_version(site: &Site, i: usize, version: u64) {
     wait_for(|| async {
         let dump = state(&site.routers[i]).await?;
@@ -51,7 +53,7 @@
     let site = Site::start(engines, routers, engine_args);
     run(async move {
         let offset = site.configure("kili-checks", "prefix-aware").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         for i in 0..routers {
             site.wait_ready(i).await;
         }
@@ -60,37 +62,37 @@
 }
 
 #[test]
-fn weights_named_reach_every_engine_and_stay() {
+fn announced_weights_version_reaches_every_engine_and_is_never_reverted() {
     let site = ready_site(3, 2, &["--weights-ms", "50"]);
     let mut site = run(async move {
-        keeper(&site, &[0, 1]).await;
+        lease_holder(&site, &[0, 1]).await;
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let (status, _) = post(&url, &completion("kili-checks", 320, 2, false)).await;
         assert_eq!(status, 200);
-        let named = site.publish(r#"{"kind":"weights","version":2}"#).await;
-        // An operator racing with an older version changes nothing.
-        let race = site.publish(r#"{"kind":"weights","version":1}"#).await;
-        assert!(race > named);
+        let announced = site.publish(r#"{"kind":"weights","version":2}"#).await;
+        // An older version announced concurrently by another operator has no effect.
+        let older = site.publish(r#"{"kind":"weights","version":1}"#).await;
+        assert!(older > announced);
         wait_version(&site, 0, 2).await;
         let (status, text) = post(&url, &completion("kili-checks", 320, 2, false)).await;
         assert_eq!(status, 200);
         let answer: marjoram_core::wire::Completion = serde_json::from_str(&text).unwrap();
-        assert_eq!(answer.usage.cached_tokens.0, 0, "nothing of the older weights is used");
+        assert_eq!(answer.usage.cached_tokens.0, 0, "no cache entry of the older weights is used");
         assert!(answer.text.contains("v2"), "{}", answer.text);
         site
     });
-    // A restarted engine comes back with the weights it was made with.
+    // A restarted engine starts with its built-in weights version.
     site.kill("engine0");
     site.start_engine(0);
     run(async move { wait_version(&site, 1, 2).await });
 }
 
 #[test]
-fn paused_keeper_sends_nothing_once_another_has_taken_over() {
-    // Engines that ignore fencing tokens: only the lease protects them.
+fn paused_lease_holder_sends_no_order_after_another_has_taken_over() {
+    // These engines ignore fencing tokens, so only the lease protects them.
     let mut site = ready_site(4, 2, &["--weights-ms", "1000", "--fenced", "false"]);
     run(async move {
-        let old = keeper(&site, &[0, 1]).await;
+        let old = lease_holder(&site, &[0, 1]).await;
         let other = 1 - old;
         site.publish(r#"{"kind":"weights","version":2}"#).await;
         wait_for(|| async {
@@ -99,24 +101,32 @@
         })
         .await;
         site.freeze(&format!("router{old}"));
-        assert_eq!(keeper(&site, &[other]).await, other);
+        assert_eq!(lease_holder(&site, &[other]).await, other);
         site.publish(r#"{"kind":"weights","version":3}"#).await;
         wait_version(&site, other, 3).await;
-        let before: usize = count(&site).await;
-        site.thaw(&format!("router{old}"));
+        let before: usize = order_count(&site).await;
+        site.unfreeze(&format!("router{old}"));
         ntex::time::sleep(Duration::from_secs(3)).await;
-        assert_eq!(count(&site).await, before, "the paused keeper sent no order when it woke");
+        assert_eq!(
+            order_count(&site).await,
+            before,
+            "the paused lease holder sent no order after it resumed"
+        );
         for engine in &site.engines {
             let tokens: Vec<u64> = orders(engine).await.iter().map(|o| o.1).collect();
-            assert!(tokens.is_sorted(), "tokens at {engine} rise: {tokens:?}");
+            assert!(tokens.is_sorted(), "fencing tokens at {engine} never decrease: {tokens:?}");
         }
         wait_version(&site, old, 3).await;
         site.kill(&format!("router{other}"));
-        assert_eq!(keeper(&site, &[old]).await, old, "the lease passes on when its holder dies");
+        assert_eq!(
+            lease_holder(&site, &[old]).await,
+            old,
+            "another router takes the lease when its holder is killed"
+        );
     });
 }
 
-async fn count(site: &Site) -> usize {
+async fn order_count(site: &Site) -> usize {
     let mut count = 0;
     for engine in &site.engines {
         count += orders(engine).await.len();
@@ -125,33 +135,36 @@
 }
 
 #[test]
-fn fenced_engine_refuses_an_old_token() {
+fn fenced_engine_rejects_an_old_fencing_token() {
     let site = ready_site(1, 1, &["--weights-ms", "0"]);
     run(async move {
-        keeper(&site, &[0]).await;
+        lease_holder(&site, &[0]).await;
         let order = |version: u32, fencing: u64| {
             let body = format!(r#"{{"version":{version},"fencing":{fencing}}}"#);
             let url = format!("http://{}/v1/admin/weights", site.engines[0]);
             async move { post(&url, &body).await.0 }
         };
         assert_eq!(order(3, 100).await, 204);
-        assert_eq!(order(2, 99).await, 409, "an order left over from an old keeper");
+        assert_eq!(order(2, 99).await, 409, "an order from a previous lease holder");
         let obeyed: Vec<bool> = orders(&site.engines[0]).await.iter().map(|o| o.2).collect();
         assert_eq!(obeyed, [true, false]);
     });
 }
 
 #[test]
-fn terminated_keeper_hands_the_lease_on_at_once() {
+fn terminated_lease_holder_releases_the_lease_at_once() {
     let mut site = ready_site(1, 2, &[]);
     run(async move {
-        let old = keeper(&site, &[0, 1]).await;
+        let old = lease_holder(&site, &[0, 1]).await;
         let asked = std::time::Instant::now();
         let mut child = site.terminate(&format!("router{old}"));
-        assert_eq!(keeper(&site, &[1 - old]).await, 1 - old);
-        // An unreleased lease would take its 3 s and a margin to run out.
+        assert_eq!(lease_holder(&site, &[1 - old]).await, 1 - old);
+        // A lease that is not released expires only after 3 s plus a margin.
         let took = asked.elapsed();
-        assert!(took < Duration::from_millis(2500), "handed on after {took:?}");
+        assert!(
+            took < Duration::from_millis(2500),
+            "the lease passed to the other router after {took:?}"
+        );
         let _ = child.wait();
     });
 }
--- a/crates/router/tests/members.rs
+++ b/crates/router/tests/members.rs
@@ -1,6 +1,5 @@
-//! Callers are not sent to routers that are down, although the host list
-//! still names them: a router killed, and one frozen with its connections
-//! open.
+//! Callers are not directed to routers that are down but still in the host list:
+//! one that was killed, and one that is frozen with its connections open.
 
 #[path = "support/site.rs"]
 mod site;
@@ -8,8 +7,8 @@
 use marjoram_core::wire::RouteAnswer;
 use site::{Site, client, run, wait_for};
 
-/// The routers that `router` sends callers to, over many callers.
-async fn handed_out(router: &str) -> Vec<String> {
+/// Returns the distinct routers to which `router` directs 40 callers.
+async fn routes_given(router: &str) -> Vec<String> {
     let mut all = Vec::new();
     for caller in 0..40 {
         let url = format!("http://{router}/v1/route?caller=c{caller}");
@@ -21,27 +20,27 @@
     all
 }
 
-async fn wait_handed_out(site: &Site, expected: &[usize]) {
+async fn wait_routes_given(site: &Site, expected: &[usize]) {
     let mut expected: Vec<String> = expected.iter().map(|&i| site.routers[i].clone()).collect();
     expected.sort();
-    wait_for(|| async { (handed_out(&site.routers[0]).await == expected).then_some(()) }).await;
+    wait_for(|| async { (routes_given(&site.routers[0]).await == expected).then_some(()) }).await;
 }
 
 #[test]
-fn callers_are_not_sent_to_killed_or_frozen_routers() {
+fn callers_are_not_directed_to_killed_or_frozen_routers() {
     let mut site = Site::start(1, 4, &[]);
     run(async move {
         let offset = site.configure("kili-checks", "maglev").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         for i in 0..4 {
             site.wait_ready(i).await;
         }
-        wait_handed_out(&site, &[0, 1, 2, 3]).await;
+        wait_routes_given(&site, &[0, 1, 2, 3]).await;
         site.kill("router1");
         site.freeze("router2");
-        wait_handed_out(&site, &[0, 3]).await;
-        site.thaw("router2");
+        wait_routes_given(&site, &[0, 3]).await;
+        site.unfreeze("router2");
         site.start_router(1);
-        wait_handed_out(&site, &[0, 1, 2, 3]).await;
+        wait_routes_given(&site, &[0, 1, 2, 3]).await;
     });
 }
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -1,6 +1,6 @@
-//! Under load a request that cannot be served in time gets its final answer
-//! at once, truthfully, with the time to come back; and failing engines are
-//! not loaded further by retries.
+//! Under load, a request that cannot be served by its deadline is refused at
+//! once, as not run, with a `Retry-After` header; and retries do not add more
+//! load to failing engines than their budget allows.
 
 #[path = "support/site.rs"]
 mod site;
@@ -10,7 +10,8 @@
 use marjoram_core::wire::{Completion, ErrorBody};
 use site::{Site, client, completion, post, run, state};
 
-/// A request for a prompt of `words` words of its own, with a deadline.
+/// Returns a request for the `n`th distinct prompt, of `words` words, with an
+/// optional deadline.
 fn request(n: usize, words: usize, deadline_ms: Option<u64>) -> String {
     let body = completion("kili-checks", words, 1, false).replace("w0 ", &format!("beam{n} "));
     match deadline_ms {
@@ -23,20 +24,23 @@
     let site = Site::start(engines, 1, engine_args);
     run(async move {
         let offset = site.configure("kili-checks", "prefix-aware").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         site.wait_ready(0).await;
         site
     })
 }
 
 #[test]
-fn request_that_cannot_make_its_deadline_is_refused_at_once() {
-    // A prompt token takes a millisecond, a prompt of 400 words 0.4 s.
+fn request_that_cannot_meet_its_deadline_is_refused_at_once() {
+    // Prefill takes 1 ms per prompt token, so 0.4 s for a prompt of 400 words.
     let site = configured(1, &["--prefill-us", "1000"]);
     run(async move {
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let (status, text) = post(&url, &request(0, 400, None)).await;
-        assert_eq!(status, 200, "teaches the router the engine's pace: {text}");
+        assert_eq!(
+            status, 200,
+            "the router measures the engine's throughput with this request: {text}"
+        );
         let queued: Vec<_> = (1..6)
             .map(|n| {
                 let (url, body) = (url.clone(), request(n, 400, None));
@@ -51,9 +55,13 @@
             .send_body(request(9, 400, Some(700)))
             .await
             .unwrap();
-        assert!(asked.elapsed() < Duration::from_millis(500), "not held back to the deadline");
+        assert!(
+            asked.elapsed() < Duration::from_millis(500),
+            "the refusal does not wait for the deadline"
+        );
         assert_eq!(response.status().as_u16(), 503);
-        let after = response.headers().get("retry-after").expect("told when to come back");
+        let after =
+            response.headers().get("retry-after").expect("refusal has a Retry-After header");
         assert!(after.to_str().unwrap().parse::<u64>().unwrap() >= 1);
         let refusal: ErrorBody = serde_json::from_slice(&response.body().await.unwrap()).unwrap();
         assert!(refusal.error.not_run, "{refusal:?}");
@@ -70,13 +78,13 @@
 }
 
 #[test]
-fn request_whose_deadline_passes_ends_then_with_outcome_unknown() {
+fn request_past_its_deadline_ends_with_outcome_unknown() {
     let site = configured(1, &["--prefill-us", "5000"]);
     run(async move {
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let asked = Instant::now();
         let (status, text) = post(&url, &request(0, 800, Some(400))).await;
-        assert!(asked.elapsed() < Duration::from_millis(2000), "given up at the deadline");
+        assert!(asked.elapsed() < Duration::from_millis(2000), "the request ends at its deadline");
         assert_eq!(status, 504, "{text}");
         let answer: ErrorBody = serde_json::from_str(&text).unwrap();
         assert_eq!(answer.error.step, "deadline");
@@ -98,8 +106,8 @@
         }
         let dump = state(&site.routers[0]).await.unwrap();
         let attempts = dump["counters"]["retried"].as_u64().unwrap();
-        // A first attempt each, a fifth of that again, and the reserve of 20.
+        // One first attempt per request, a retry budget of a fifth of the requests, and its reserve of 20.
         assert!(attempts <= REQUESTS + REQUESTS / 5 + 20, "{attempts} attempts");
-        assert!(attempts > REQUESTS, "some are retried");
+        assert!(attempts > REQUESTS, "some requests are retried");
     });
 }
--- a/crates/router/tests/poison.rs
+++ b/crates/router/tests/poison.rs
@@ -1,10 +1,11 @@
-//! One completion ended engine after engine: whatever began to run it crashed,
-//! and its caller sent it again to any router. Each router took each return for
-//! a new request, and went on to the next engine by itself besides:
+//! Guards against one completion that crashes engine after engine. Every engine
+//! that begins to run it crashes, and its caller sends it again to any router. A
+//! router that treats each repeat as a new request, and also retries it on the
+//! next engine by itself, spreads the crashes:
 //!
 //! ```text
 //! forward: answer from engine 127.0.0.1:20510 failed: …; 5f0… goes to another engine.
-//! engine: crashing under request 5f0…
+//! engine: crashing while running request 5f0…
 //! ```
 
 #[path = "support/site.rs"]
@@ -18,24 +19,24 @@
 const ENGINES: usize = 6;
 const ROUTERS: usize = 3;
 
-/// The text under which engines crash.
-const POISON: &str = "crash-now";
+/// Prompt text that crashes an engine.
+const CRASH_TEXT: &str = "crash-now";
 
-/// Time after the third crash in which routers can know of it.
-const KNOWN: Duration = Duration::from_millis(2_500);
+/// Time after the third crash within which every router must have learned of it.
+const PROPAGATION_TIME: Duration = Duration::from_millis(2_500);
 
-/// How often the request may be sent after the third crash.
-const SENDS_AFTER: usize = 3;
+/// Number of further crashes allowed after the third one.
+const EXTRA_CRASHES_ALLOWED: usize = 3;
 
-fn poison() -> String {
-    serde_json::json!({ "workspace": "kili-checks", "prompt": format!("w0 w1 w2 {POISON}"),
+fn deadly_request() -> String {
+    serde_json::json!({ "workspace": "kili-checks", "prompt": format!("w0 w1 w2 {CRASH_TEXT}"),
         "max_tokens": 4, "stream": false })
     .to_string()
 }
 
-/// Starts those engines again that have crashed; how many they were.
+/// Restarts the engines that have crashed and returns their number.
 fn restart_crashed(site: &mut Site) -> usize {
-    let ended = |site: &mut Site, n: usize| site.has_ended(&format!("engine{n}"));
+    let ended = |site: &mut Site, n: usize| site.has_exited(&format!("engine{n}"));
     let crashed: Vec<usize> = (0..ENGINES).filter(|&n| ended(site, n)).collect();
     for &n in &crashed {
         site.kill(&format!("engine{n}"));
@@ -44,27 +45,31 @@
     crashed.len()
 }
 
-fn ask(router: &str, body: String) -> (u16, String) {
+fn send(router: &str, body: String) -> (u16, String) {
     let url = format!("http://{router}/v1/completions");
     run(async move { post(&url, &body).await })
 }
 
-/// Sends the request to all routers; none may send it on.
-fn assert_kept_away(site: &mut Site) {
+/// Sends the request to every router and checks that none forwards it.
+fn assert_quarantined(site: &mut Site) {
     for router in site.routers.clone() {
-        let (status, text) = ask(&router, poison());
+        let (status, text) = send(&router, deadly_request());
         assert_eq!(status, 503, "{text}");
         let refusal: ErrorBody = serde_json::from_str(&text).unwrap();
         assert!(refusal.error.not_run, "{text}");
     }
-    assert_eq!(restart_crashed(site), 0, "sent again after all routers could know");
+    assert_eq!(
+        restart_crashed(site),
+        0,
+        "forwarded after every router must have learned of the crashes"
+    );
 }
 
 fn configured() -> Site {
-    let site = Site::start(ENGINES, ROUTERS, &["--crash-on", POISON]);
+    let site = Site::start(ENGINES, ROUTERS, &["--crash-on", CRASH_TEXT]);
     run(async move {
         let offset = site.configure("kili-checks", "round-robin").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         for n in 0..ROUTERS {
             site.wait_ready(n).await;
         }
@@ -73,23 +78,23 @@
 }
 
 #[test]
-fn poison_on_the_own_interface_is_kept_away_after_three_crashes_and_restarts() {
+fn deadly_request_is_refused_after_three_crashes_also_by_restarted_routers() {
     let mut site = configured();
     let mut crashes = 0;
     for n in 0..12 {
         let router = site.routers[n % ROUTERS].clone();
-        ask(&router, poison());
+        send(&router, deadly_request());
         std::thread::sleep(Duration::from_millis(50));
         crashes += restart_crashed(&mut site);
         if crashes >= 3 {
             break;
         }
     }
-    assert!((3..=3 + SENDS_AFTER).contains(&crashes), "{crashes} crashes");
-    std::thread::sleep(KNOWN);
-    assert_kept_away(&mut site);
-    // Others of the same workspace are served as ever.
-    let (status, text) = ask(&site.routers[0].clone(), completion("kili-checks", 8, 2, false));
+    assert!((3..=3 + EXTRA_CRASHES_ALLOWED).contains(&crashes), "{crashes} crashes");
+    std::thread::sleep(PROPAGATION_TIME);
+    assert_quarantined(&mut site);
+    // Other requests of the same workspace are still served.
+    let (status, text) = send(&site.routers[0].clone(), completion("kili-checks", 8, 2, false));
     assert_eq!(status, 200, "{text}");
     for n in 0..ROUTERS {
         site.kill(&format!("router{n}"));
@@ -103,5 +108,5 @@
         }
         site_ready
     });
-    assert_kept_away(&mut site);
+    assert_quarantined(&mut site);
 }
--- a/crates/router/tests/settings.rs
+++ b/crates/router/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Bad router settings are refused at start, naming the setting.
+//! Invalid router settings are rejected at start with an error that names the
+//! setting.
 
 use std::process::Command;
 
@@ -9,7 +10,7 @@
 #[test_case(&["--log-service", "127.0.0.1:1", "--host-list", "127.0.0.1:2", "--workers", "0"], &[], "--workers" ; "zero workers")]
 #[test_case(&["--host-list", "127.0.0.1:2"], &[("MARJORAM_LOG_SERVICE", "x:y")], "MARJORAM_LOG_SERVICE" ; "bad env")]
 #[test_case(&["--log-service", "127.0.0.1:1", "--host-list", "127.0.0.1:2", "--log-format", "xml"], &[], "xml" ; "bad log format")]
-fn bad_settings_are_named(args: &[&str], env: &[(&str, &str)], expected: &str) {
+fn error_names_the_invalid_setting(args: &[&str], env: &[(&str, &str)], expected: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_marjoram"))
         .args(args)
         .env_remove("MARJORAM_LOG_SERVICE")
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,7 +1,7 @@
-//! Promise: a graceful shutdown cuts no request.
+//! Guarantee: a graceful shutdown interrupts no request.
 //!
-//! SIGTERM to a router with streams in flight: every stream still ends
-//! with `[DONE]`, callers asking for a route are sent to the other router,
+//! After SIGTERM to a router with streams in flight, every stream still ends
+//! with `[DONE]`, callers that ask for a route are directed to the other router,
 //! and new completions are refused as not run with `Retry-After`.
 
 #[path = "support/site.rs"]
@@ -31,15 +31,15 @@
             _ => chunks += 1,
         }
     }
-    Err(format!("cut after {chunks} chunks"))
+    Err(format!("stream truncated after {chunks} chunks"))
 }
 
 #[test]
-fn sigterm_under_load_cuts_no_stream() {
+fn sigterm_under_load_interrupts_no_stream() {
     let mut site = Site::start(2, 2, &["--decode-ms", "60", "--slots", "8"]);
     run(async move {
         let offset = site.configure("kili-checks", "least-load").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let streams: Vec<_> =
             (0..12).map(|_| ntex::rt::spawn(stream_to_end(url.clone()))).collect();
@@ -51,9 +51,9 @@
             .get(format!("http://{}/v1/route?dc=dc1", site.routers[0]))
             .send()
             .await
-            .expect("a draining router still answers route");
+            .expect("a draining router still answers /v1/route");
         let answer: RouteAnswer = serde_json::from_slice(&response.body().await.unwrap()).unwrap();
-        assert_eq!(answer.addr, site.routers[1], "callers are sent to the other router");
+        assert_eq!(answer.addr, site.routers[1], "callers are directed to the other router");
 
         let (status, text) = site::post(&url, &completion("kili-checks", 8, 2, false)).await;
         assert_eq!(status, 503, "{text}");
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -1,11 +1,11 @@
-//! Promise: every stream is complete and in order.
+//! Guarantee: every stream is complete and in order.
 //!
-//! An engine killed in the middle of a stream hands the stream on to
-//! another engine from the first chunk not yet sent, so the caller gets
-//! every chunk once and in order. With no engine left, the caller's stream
-//! ends with an error event naming the step and the engine, never a silent
-//! cut that looks like a short answer. An engine that refuses connections
-//! is passed over before the request is sent anywhere.
+//! When an engine is killed in the middle of a stream, the stream resumes on
+//! another engine from the first chunk not yet sent, so the caller gets every
+//! chunk once and in order. When no engine is left, the caller's stream ends with
+//! an error event that names the step and the engine; it is never truncated
+//! silently, which would look like a short response. An engine that refuses
+//! connections is skipped before the request is sent anywhere.
 
 #[path = "support/site.rs"]
 mod site;
@@ -15,10 +15,11 @@
 use marjoram_core::wire::{Chunk, Completion, ErrorBody};
 use site::{Site, client, completion, post, run, state};
 
-/// A router's streamed answer: its chunks, and the error it ended with.
+/// Reads a streamed response to its end and returns its chunks and the error it
+/// ended with, if any. Calls `on_chunk` with the number of chunks so far.
 async fn read_stream(
     response: ntex::http::client::ClientResponse,
-    mut at: impl FnMut(usize),
+    mut on_chunk: impl FnMut(usize),
 ) -> (Vec<Chunk>, Option<ErrorBody>) {
     let mut events = response.eventsource();
     let mut chunks = Vec::new();
@@ -29,9 +30,9 @@
             (_, "[DONE]") => return (chunks, None),
             (_, data) => chunks.push(serde_json::from_str(data).expect("chunk")),
         }
-        at(chunks.len());
+        on_chunk(chunks.len());
     }
-    panic!("stream cut without an end after {} chunks", chunks.len());
+    panic!("stream truncated without an end marker after {} chunks", chunks.len());
 }
 
 async fn open_stream(site: &Site, max_tokens: u32) -> ntex::http::client::ClientResponse {
@@ -43,7 +44,7 @@
         .expect("router answers")
 }
 
-/// The engine that has the one stream in flight.
+/// Returns the index of the engine with the only stream in flight.
 async fn busy_engine(site: &Site) -> usize {
     site::wait_for(|| async {
         let dump = state(&site.routers[0]).await?;
@@ -52,7 +53,7 @@
     .await
 }
 
-fn assert_whole(chunks: &[Chunk], count: u32) {
+fn assert_complete(chunks: &[Chunk], count: u32) {
     let id = chunks[0].id;
     let seqs: Vec<u32> = chunks.iter().map(|c| c.seq).collect();
     assert_eq!(seqs, (0..count).collect::<Vec<_>>(), "every chunk once, in order");
@@ -63,14 +64,14 @@
     let site = Site::start_with(engines, 1, engine_args, router_args, &[]);
     run(async move {
         let offset = site.configure("kili-checks", "round-robin").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         site.wait_ready(0).await;
         site
     })
 }
 
 #[test]
-fn engine_killed_mid_stream_ends_with_an_error_event() {
+fn stream_ends_with_an_error_event_when_the_only_engine_is_killed() {
     let mut site = configured(1, &["--decode-ms", "100"], &[]);
     run(async move {
         let response = open_stream(&site, 40).await;
@@ -81,15 +82,17 @@
             }
         };
         let (chunks, error) = read_stream(response, kill).await;
-        let error = error.expect("the stream ended with an error event, not a silent cut").error;
+        let error = error
+            .expect("the stream ended with an error event and was not truncated silently")
+            .error;
         assert_eq!((error.step.as_str(), error.peer), ("stream", engine));
-        assert!(!error.not_run, "part of the answer ran");
-        assert_whole(&chunks, chunks.len() as u32);
+        assert!(!error.not_run, "part of the request ran");
+        assert_complete(&chunks, chunks.len() as u32);
     });
 }
 
 #[test]
-fn engine_killed_mid_stream_is_resumed_on_another() {
+fn stream_resumes_on_another_engine_when_its_engine_is_killed() {
     let mut site = configured(2, &["--decode-ms", "50"], &[]);
     run(async move {
         let response = open_stream(&site, 30).await;
@@ -100,14 +103,14 @@
             }
         };
         let (chunks, error) = read_stream(response, kill).await;
-        assert!(error.is_none(), "an engine was left: {error:?}");
-        assert_whole(&chunks, 30);
+        assert!(error.is_none(), "another engine was available: {error:?}");
+        assert_complete(&chunks, 30);
         assert!(chunks.last().unwrap().usage.is_some());
     });
 }
 
 #[test]
-fn refused_engine_is_passed_over() {
+fn engine_that_refuses_connections_is_skipped() {
     let mut site = configured(2, &[], &[]);
     site.kill("engine0");
     run(async move {
@@ -123,12 +126,12 @@
 }
 
 #[test]
-fn engine_frozen_mid_stream_is_resumed_on_another() {
+fn stream_resumes_on_another_engine_when_its_engine_freezes() {
     let site = configured(2, &["--decode-ms", "50"], &["--stream-idle-ms", "500"]);
     run(async move {
         let response = open_stream(&site, 30).await;
         let busy = busy_engine(&site).await;
-        // Its connections stay open and go silent.
+        // The frozen engine's connections stay open but send nothing.
         let freeze = |n| {
             if n == 5 {
                 site.freeze(&format!("engine{busy}"));
@@ -137,48 +140,48 @@
         let started = std::time::Instant::now();
         let (chunks, error) = read_stream(response, freeze).await;
         assert!(error.is_none(), "{error:?}");
-        assert_whole(&chunks, 30);
-        assert!(started.elapsed() < site::PATIENCE, "the silence was noticed");
+        assert_complete(&chunks, 30);
+        assert!(started.elapsed() < site::WAIT_TIMEOUT, "the idle stream timed out");
     });
 }
 
 #[test]
-fn engine_frozen_before_its_first_chunk_is_left_for_another() {
+fn request_moves_to_another_engine_when_its_engine_freezes_before_the_first_chunk() {
     let site = configured(2, &[], &[]);
     run(async move {
         site.freeze("engine0");
         for _ in 0..4 {
             let (chunks, error) = read_stream(open_stream(&site, 4).await, |_| {}).await;
             assert!(error.is_none(), "{error:?}");
-            assert_whole(&chunks, 4);
+            assert_complete(&chunks, 4);
         }
     });
 }
 
 #[test]
-fn crossed_answers_reach_nobody() {
-    // Every second answer of either engine begins with another's chunk.
+fn chunks_of_another_request_never_reach_a_caller() {
+    // Every second response of each engine begins with a chunk under another request's id.
     let site = configured(2, &["--cross-every", "2"], &[]);
     run(async move {
         let mut ids = std::collections::HashSet::new();
-        let mut whole = 0;
+        let mut complete = 0;
         for _ in 0..12 {
             let (chunks, error) = read_stream(open_stream(&site, 6).await, |_| {}).await;
             match error {
                 None => {
-                    assert_whole(&chunks, 6);
-                    assert!(ids.insert(chunks[0].id), "one answer for each request");
-                    whole += 1;
+                    assert_complete(&chunks, 6);
+                    assert!(ids.insert(chunks[0].id), "each request gets a response of its own");
+                    complete += 1;
                 }
                 Some(error) => assert!(chunks.is_empty() && !error.error.not_run, "{error:?}"),
             }
         }
-        assert!(whole >= 6, "the other engine answers most: {whole} of 12");
+        assert!(complete >= 6, "too few complete responses: {complete} of 12");
     });
 }
 
 #[test]
-fn a_stream_never_goes_on_under_other_weights() {
+fn stream_is_not_resumed_under_another_weights_version() {
     let mut site = configured(2, &["--decode-ms", "100", "--weights-ms", "0"], &[]);
     run(async move {
         let response = open_stream(&site, 20).await;
@@ -191,14 +194,15 @@
             }
         };
         let (chunks, error) = read_stream(response, kill).await;
-        assert_whole(&chunks, chunks.len() as u32);
-        let error = error.expect("no engine is left with the weights the answer began under");
-        assert!(!error.error.not_run, "part of the answer ran");
+        assert_complete(&chunks, chunks.len() as u32);
+        let error =
+            error.expect("no engine is left with the weights version the response began with");
+        assert!(!error.error.not_run, "part of the request ran");
     });
 }
 
 #[test]
-fn a_request_one_engine_may_have_run_is_never_called_not_run() {
+fn request_that_an_engine_may_have_run_is_never_reported_as_not_run() {
     let mut site = configured(2, &[], &[]);
     site.kill("engine1");
     site.engine_args = vec!["--refuse".into(), "true".into()];
@@ -209,23 +213,24 @@
             dump["engines"].as_array()?.iter().all(|e| e["down"] == false).then_some(())
         })
         .await;
-        // Engine 0 takes the request and never answers; engine 1 refuses it.
+        // Engine 0 accepts the request and never responds; engine 1 refuses it.
         site.freeze("engine0");
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let (status, text) = post(&url, &completion("kili-checks", 64, 4, false)).await;
         let answer: ErrorBody = serde_json::from_str(&text).expect("error body");
         assert_eq!((status, answer.error.not_run), (502, false), "{text}");
         assert_eq!(answer.error.peer, site.engines[0]);
-        // Only engine 1 is left to ask: now it is true.
+        // Only engine 1 is still in use and it refuses the request, so "not run" is true.
         let (status, text) = post(&url, &completion("kili-checks", 64, 4, false)).await;
         let answer: ErrorBody = serde_json::from_str(&text).expect("error body");
         assert_eq!((status, answer.error.not_run), (503, true), "{text}");
     });
 }
 
-/// More streams than the retry budget's reserve lose their engine at once.
+/// More streams than the reserve of the retry budget lose their engine at the
+/// same time.
 #[test]
-fn every_stream_of_a_crowded_engine_is_resumed() {
+fn all_streams_of_a_killed_engine_resume_beyond_the_retry_reserve() {
     const STREAMS: usize = 70;
     let args = ["--decode-ms", "100", "--batch-us", "0", "--slots", "100"];
     let mut site = configured(2, &args, &[]);
@@ -240,30 +245,30 @@
         for stream in streams {
             let (chunks, error) = stream.await.unwrap();
             assert!(error.is_none(), "{error:?}");
-            assert_whole(&chunks, 25);
+            assert_complete(&chunks, 25);
         }
         let dump = state(&site.routers[0]).await.unwrap();
-        assert!(dump["counters"]["resumed"].as_u64().unwrap() > 25, "most were under way");
+        assert!(dump["counters"]["resumed"].as_u64().unwrap() > 25, "most streams had begun");
     });
 }
 
-/// A caller that leaves before its first chunk frees the engine: the router
-/// does not wait for a prompt to be read that nobody wants.
+/// When a caller disconnects before its first chunk, the router cancels the
+/// request instead of waiting for the prefill of a prompt that nobody needs.
 #[test]
-fn a_caller_that_leaves_frees_its_engine() {
-    // The prompt of 64 words takes 12.8 s to read.
+fn engine_is_freed_when_the_caller_disconnects_before_the_first_chunk() {
+    // The prefill of the 64-word prompt takes 12.8 s.
     let site = configured(1, &["--prefill-us", "200000", "--chunk", "1"], &[]);
     run(async move {
         let response = open_stream(&site, 4).await;
         busy_engine(&site).await;
         drop(response);
-        let left = std::time::Instant::now();
+        let disconnected = std::time::Instant::now();
         site::wait_for(|| async {
             let dump = state(&site.routers[0]).await?;
             (dump["engines"][0]["inflight"].as_u64() == Some(0)).then_some(())
         })
         .await;
-        let took = left.elapsed();
-        assert!(took < std::time::Duration::from_secs(5), "noticed after {took:?}");
+        let elapsed = disconnected.elapsed();
+        assert!(elapsed < std::time::Duration::from_secs(5), "engine freed after {elapsed:?}");
     });
 }
--- a/crates/router/tests/support/site.rs
+++ b/crates/router/tests/support/site.rs
@@ -1,8 +1,9 @@
-//! A small site on loopback for failure tests: stand-ins and routers as
-//! real processes, killed when the test ends, and a few HTTP helpers.
+//! A small deployment (a "site") on loopback for failure tests: stand-ins and
+//! routers as real processes, killed when the test ends, and HTTP helpers.
 //!
-//! Each site takes a block of ports of its own, so tests run side by side:
-//! it holds a listener on the block's last port for as long as it lives.
+//! Each site reserves a block of ports, so that tests can run in parallel. It
+//! reserves the block with a listener on the block's last port, open until the
+//! site is dropped.
 
 #![allow(dead_code)]
 
@@ -14,15 +15,16 @@
 use marjoram_core::wire::{Appended, HostEntry, HostState, Role};
 use ntex::http::client::Client;
 
-/// Longest wait for anything in these tests.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+/// Timeout of every wait in these tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Ports of one site.
-const BLOCK: u16 = 100;
+/// Number of ports reserved for one site.
+const BLOCK_SIZE: u16 = 100;
 
-/// Blocks of ports sites are placed in, from this port on.
+/// First port of the range that is divided into blocks for sites.
 const FIRST_PORT: u16 = 20_000;
-const BLOCKS: u16 = 110;
+/// Number of blocks in that range.
+const BLOCK_COUNT: u16 = 110;
 
 /// Processes of one site, killed when dropped.
 pub struct Site {
@@ -59,13 +61,14 @@
 }
 
 impl Site {
-    /// Starts the log, host list, service, `engines` engines and `routers`
-    /// routers, lists them all in the host list and waits until they listen.
+    /// Starts the log service, the host list, the service, `engines` engines and
+    /// `routers` routers, waits until they listen, and adds the engines, routers
+    /// and service to the host list.
     pub fn start(engines: usize, routers: usize, engine_args: &[&str]) -> Site {
         Self::start_with(engines, routers, engine_args, &[], &[])
     }
 
-    /// As [`Site::start`], with arguments for the routers and the log.
+    /// Like [`Site::start`], with extra arguments for the routers and the log service.
     pub fn start_with(
         engines: usize,
         routers: usize,
@@ -73,7 +76,7 @@
         router_args: &[&str],
         log_args: &[&str],
     ) -> Site {
-        let (base, block) = take_block();
+        let (base, block) = reserve_block();
         let addr = |n: u16| format!("127.0.0.1:{}", base + n);
         let mut site = Site {
             log: addr(0),
@@ -130,7 +133,7 @@
         self.children.push((name.to_string(), child));
     }
 
-    /// Starts engine `i` (again, after a kill: a new incarnation).
+    /// Starts engine `i`. After a kill it restarts with a new incarnation.
     pub fn start_engine(&mut self, i: usize) {
         let addr = self.engines[i].clone();
         let mut args = vec!["engine".to_string(), "--listen".into(), addr.clone()];
@@ -140,14 +143,14 @@
         wait_listening(&addr);
     }
 
-    /// Starts the plain service (again, after a kill: with no runs counted).
+    /// Starts the service. After a kill it restarts with its run counts empty.
     pub fn start_service(&mut self) {
         let addr = self.service.clone();
         self.spawn("service", standin_bin(), &["service", "--listen", &addr]);
         wait_listening(&addr);
     }
 
-    /// Starts a second plain service, not yet listed; its address.
+    /// Starts a second service, not in the host list yet, and returns its address.
     pub fn start_second_service(&mut self) -> String {
         let first: std::net::SocketAddr = self.service.parse().expect("ip:port");
         let addr = format!("127.0.0.1:{}", first.port() + 1);
@@ -168,7 +171,7 @@
         self.spawn(&format!("router{i}"), router_bin(), &args);
     }
 
-    /// Kills process `name` at once (SIGKILL).
+    /// Kills process `name` with SIGKILL.
     pub fn kill(&mut self, name: &str) {
         let index = self.children.iter().position(|(n, _)| n == name).expect("known process");
         let (_, mut child) = self.children.remove(index);
@@ -176,10 +179,10 @@
         let _ = child.wait();
     }
 
-    /// Whether process `name` has ended by itself.
-    pub fn has_ended(&mut self, name: &str) -> bool {
-        let mut found = self.children.iter_mut().filter(|(n, _)| n == name);
-        found.any(|(_, child)| matches!(child.try_wait(), Ok(Some(_))))
+    /// Whether process `name` has exited by itself.
+    pub fn has_exited(&mut self, name: &str) -> bool {
+        let mut matching = self.children.iter_mut().filter(|(n, _)| n == name);
+        matching.any(|(_, child)| matches!(child.try_wait(), Ok(Some(_))))
     }
 
     /// Sends SIGTERM to process `name` and returns its handle.
@@ -189,26 +192,26 @@
         self.children.remove(index).1
     }
 
-    /// Stops process `name` where it is (SIGSTOP): its connections stay open.
+    /// Suspends process `name` with SIGSTOP; its connections stay open.
     pub fn freeze(&self, name: &str) {
         self.signal(name, "-STOP");
     }
 
-    /// Lets a frozen process go on (SIGCONT).
-    pub fn thaw(&self, name: &str) {
+    /// Resumes a frozen process with SIGCONT.
+    pub fn unfreeze(&self, name: &str) {
         self.signal(name, "-CONT");
     }
 
     fn signal(&self, name: &str, signal: &str) {
         let (_, child) = self.children.iter().find(|(n, _)| n == name).expect("known process");
         let status = Command::new("kill").args([signal, &child.id().to_string()]).status();
-        assert!(status.is_ok_and(|s| s.success()), "kill {signal} works");
+        assert!(status.is_ok_and(|s| s.success()), "kill {signal} succeeds");
     }
 
-    /// Orders a fault at the log service, such as `outage?ms=500`.
-    pub async fn log_fault(&self, order: &str) {
-        let url = format!("http://{}/v1/admin/{order}", self.log);
-        client().post(url).send().await.expect("fault ordered");
+    /// Injects a fault into the log service, such as `outage?ms=500`.
+    pub async fn inject_log_fault(&self, fault: &str) {
+        let url = format!("http://{}/v1/admin/{fault}", self.log);
+        client().post(url).send().await.expect("fault injected");
     }
 
     fn host_entries(&self) -> Vec<HostEntry> {
@@ -242,7 +245,7 @@
             .await
     }
 
-    /// Waits until router `i` says it is ready.
+    /// Waits until router `i` reports that it is ready.
     pub async fn wait_ready(&self, i: usize) {
         let url = format!("http://{}/healthz", self.routers[i]);
         wait_for(|| async {
@@ -252,8 +255,9 @@
         .await;
     }
 
-    /// Waits until every router has `offset` in force and sees engines.
-    pub async fn wait_in_force(&self, offset: u64) {
+    /// Waits until every router has applied the configuration up to `offset` and
+    /// knows at least one engine.
+    pub async fn wait_config_applied(&self, offset: u64) {
         for router in &self.routers {
             wait_for(|| async {
                 let state = state(router).await?;
@@ -266,29 +270,30 @@
     }
 }
 
-/// A free block of ports and the listener that holds it.
-fn take_block() -> (u16, TcpListener) {
-    let first = std::process::id() as u16 % BLOCKS;
-    for turn in 0..BLOCKS {
-        let base = FIRST_PORT + (first + turn) % BLOCKS * BLOCK;
-        if let Ok(held) = TcpListener::bind(("127.0.0.1", base + BLOCK - 1)) {
-            return (base, held);
+/// Reserves a free block of ports; returns its first port and the listener that
+/// reserves it.
+fn reserve_block() -> (u16, TcpListener) {
+    let first = std::process::id() as u16 % BLOCK_COUNT;
+    for turn in 0..BLOCK_COUNT {
+        let base = FIRST_PORT + (first + turn) % BLOCK_COUNT * BLOCK_SIZE;
+        if let Ok(listener) = TcpListener::bind(("127.0.0.1", base + BLOCK_SIZE - 1)) {
+            return (base, listener);
         }
     }
     panic!("no free block of ports from {FIRST_PORT} on");
 }
 
-/// Puts one host entry in the host list at `hosts`.
+/// Adds one host entry to the host list at `hosts`, or replaces it.
 pub async fn put_host(hosts: &str, host: &HostEntry) {
     let response = client().put(format!("http://{hosts}/v1/hosts")).send_json(host).await;
-    assert!(response.is_ok_and(|r| r.status().is_success()), "host list takes entries");
+    assert!(response.is_ok_and(|r| r.status().is_success()), "host list accepts the entry");
 }
 
 fn entry(addr: &str, role: Role, state: HostState, i: usize) -> HostEntry {
     HostEntry { addr: addr.into(), role, state, dc: format!("dc{}", i % 4 + 1) }
 }
 
-/// A host entry in state `state`.
+/// Returns a host entry in state `state`.
 pub fn host(addr: &str, role: Role, state: HostState) -> HostEntry {
     entry(addr, role, state, 0)
 }
@@ -302,44 +307,45 @@
     ntex::rt::System::new("test").block_on(future)
 }
 
-/// An HTTP client for tests.
+/// Returns an HTTP client for tests.
 pub fn client() -> Client {
     Client::build().timeout(ntex::time::Seconds(30)).finish()
 }
 
-/// Blocks until something listens on `addr`.
+/// Blocks until a process listens on `addr`.
 pub fn wait_listening(addr: &str) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while TcpStream::connect(addr).is_err() {
-        assert!(Instant::now() < deadline, "{addr} not listening after {PATIENCE:?}");
+        assert!(Instant::now() < deadline, "{addr} not listening after {WAIT_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Polls `probe` until it yields a value; panics after [`PATIENCE`].
+/// Polls `probe` until it returns a value; panics after [`WAIT_TIMEOUT`].
 pub async fn wait_for<T, F, Fut>(probe: F) -> T
 where
     F: Fn() -> Fut,
     Fut: std::future::Future<Output = Option<T>>,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = probe().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "condition not met after {PATIENCE:?}");
+        assert!(Instant::now() < deadline, "condition not met after {WAIT_TIMEOUT:?}");
         ntex::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A router's state dump.
+/// Fetches a router's state dump.
 pub async fn state(router: &str) -> Option<serde_json::Value> {
     let mut response = client().get(format!("http://{router}/debug/state")).send().await.ok()?;
     let body = response.body().limit(1 << 24).await.ok()?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Status and body of a POST of `body` to `url`.
+/// Sends `body` to `url` with POST; returns the status and the body of the
+/// response, or 0 and the error.
 pub async fn post(url: &str, body: &str) -> (u16, String) {
     match client()
         .post(url)
@@ -356,7 +362,7 @@
     }
 }
 
-/// A completion request body for workspace `ws`.
+/// Returns the body of a completion request for workspace `ws`.
 pub fn completion(ws: &str, prompt_words: usize, max_tokens: u32, stream: bool) -> String {
     let prompt: Vec<String> = (0..prompt_words).map(|i| format!("w{i}")).collect();
     serde_json::json!({
--- a/crates/router/tests/upstreams.rs
+++ b/crates/router/tests/upstreams.rs
@@ -1,5 +1,5 @@
-//! Promises: a leaving upstream gets no new work after a few seconds, and
-//! a request never relies on the cache entries of a dead engine.
+//! Guarantees: a leaving upstream gets no new requests after a few seconds, and
+//! requests are never routed by the cache entries of a dead engine.
 
 #[path = "support/site.rs"]
 mod site;
@@ -10,39 +10,39 @@
 use site::{Site, completion, host, post, put_host, run, state, wait_for};
 
 #[test]
-fn leaving_engine_gets_no_new_work_after_a_few_seconds() {
+fn leaving_engine_gets_no_new_requests_after_a_few_seconds() {
     let site = Site::start(3, 1, &[]);
     run(async move {
         let offset = site.configure("kili-checks", "round-robin").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         let leaving = site.engines[0].clone();
         put_host(&site.hosts, &host(&leaving, Role::Engine, HostState::Leaving)).await;
         let marked = Instant::now();
         let url = format!("http://{}/v1/completions", site.routers[0]);
-        let mut last_seen = None;
+        let mut last_answered = None;
         while marked.elapsed() < Duration::from_secs(4) {
             let (status, text) = post(&url, &completion("kili-checks", 32, 1, false)).await;
             assert_eq!(status, 200, "{text}");
             let answer: Completion = serde_json::from_str(&text).unwrap();
             if answer.engine == leaving {
-                last_seen = Some(marked.elapsed());
+                last_answered = Some(marked.elapsed());
             }
             ntex::time::sleep(Duration::from_millis(20)).await;
         }
-        let last = last_seen.unwrap_or_default();
+        let last = last_answered.unwrap_or_default();
         assert!(
             last < Duration::from_secs(2),
-            "leaving engine still got work {last:?} after it was marked"
+            "leaving engine still got a request {last:?} after it was marked"
         );
     });
 }
 
 #[test]
-fn restarted_engine_starts_with_no_entries() {
+fn cache_entries_of_an_engine_are_dropped_when_it_restarts() {
     let mut site = Site::start(1, 1, &["--event-lag-ms", "0", "--event-loss", "0"]);
     run(async move {
         let offset = site.configure("kili-checks", "prefix-aware").await;
-        site.wait_in_force(offset).await;
+        site.wait_config_applied(offset).await;
         let url = format!("http://{}/v1/completions", site.routers[0]);
         let (status, _) = post(&url, &completion("kili-checks", 320, 1, false)).await;
         assert_eq!(status, 200);
@@ -57,11 +57,11 @@
         site.start_engine(0);
         let after = wait_for(|| async {
             let dump = state(&router).await?;
-            let life = dump["engines"][0]["life"]["incarnation"].as_u64()?;
-            (life != before).then(|| dump["picture"]["entries"].as_u64())?
+            let incarnation = dump["engines"][0]["life"]["incarnation"].as_u64()?;
+            (incarnation != before).then(|| dump["picture"]["entries"].as_u64())?
         })
         .await;
-        assert_eq!(after, 0, "no entry of the dead incarnation survives");
+        assert_eq!(after, 0, "an entry of the dead incarnation remained");
         let (status, text) = post(&url, &completion("kili-checks", 320, 1, false)).await;
         assert_eq!(status, 200);
         let answer: Completion = serde_json::from_str(&text).unwrap();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn leaving_service_gets_no_new_calls_and_a_dead_one_is_passed_over() {
+fn leaving_service_gets_no_new_calls_and_a_dead_one_is_skipped() {
     let mut site = Site::start(1, 1, &[]);
     let second = site.start_second_service();
     run(async move {
@@ -87,7 +87,7 @@
         };
         put_host(&site.hosts, &host(&second, Role::Service, HostState::Live)).await;
         services(2).await;
-        // The first dies; the host list has not noticed.
+        // The first service is killed but stays in the host list.
         site.kill("service");
         let url = format!("http://{}/v1/services/alerts", site.routers[0]);
         for _ in 0..8 {
@@ -98,7 +98,7 @@
         put_host(&site.hosts, &host(&second, Role::Service, HostState::Leaving)).await;
         services(0).await;
         let (status, text) = post(&url, "short shot").await;
-        assert_eq!(status, 503, "the leaving service gets nothing: {text}");
+        assert_eq!(status, 503, "a leaving service gets no calls: {text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
     });
 }
