--- a/crates/router/tests/at_most_once.rs
+++ b/crates/router/tests/at_most_once.rs
@@ -115,7 +115,7 @@
         let (status, body, _) = alert(&site.routers[1], "line-2-alert-8").await;
         assert_eq!(
             status, 200,
-            "the claim was abandoned before sending, so the key can be used again: {body}"
+            "the claim was abandoned before the call was sent, so it can run now: {body}"
         );
         assert_eq!(runs(&site.service).await, 1);
     });
--- a/crates/router/tests/members.rs
+++ b/crates/router/tests/members.rs
@@ -8,7 +8,7 @@
 use site::{Site, client, run, wait_for};
 
 /// Returns the distinct routers to which `router` directs 40 callers.
-async fn routes_given(router: &str) -> Vec<String> {
+async fn routers_offered(router: &str) -> Vec<String> {
     let mut all = Vec::new();
     for caller in 0..40 {
         let url = format!("http://{router}/v1/route?caller=c{caller}");
@@ -20,10 +20,11 @@
     all
 }
 
-async fn wait_routes_given(site: &Site, expected: &[usize]) {
+async fn wait_routers_offered(site: &Site, expected: &[usize]) {
     let mut expected: Vec<String> = expected.iter().map(|&i| site.routers[i].clone()).collect();
     expected.sort();
-    wait_for(|| async { (routes_given(&site.routers[0]).await == expected).then_some(()) }).await;
+    wait_for(|| async { (routers_offered(&site.routers[0]).await == expected).then_some(()) })
+        .await;
 }
 
 #[test]
@@ -35,12 +36,12 @@
         for i in 0..4 {
             site.wait_ready(i).await;
         }
-        wait_routes_given(&site, &[0, 1, 2, 3]).await;
+        wait_routers_offered(&site, &[0, 1, 2, 3]).await;
         site.kill("router1");
         site.freeze("router2");
-        wait_routes_given(&site, &[0, 3]).await;
+        wait_routers_offered(&site, &[0, 3]).await;
         site.unfreeze("router2");
         site.start_router(1);
-        wait_routes_given(&site, &[0, 1, 2, 3]).await;
+        wait_routers_offered(&site, &[0, 1, 2, 3]).await;
     });
 }
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -106,7 +106,8 @@
         }
         let dump = state(&site.routers[0]).await.unwrap();
         let attempts = dump["counters"]["retried"].as_u64().unwrap();
-        // One first attempt per request, a retry budget of a fifth of the requests, and its reserve of 20.
+        // One first attempt per request, a fifth of that as retry budget, and its
+        // reserve of 20.
         assert!(attempts <= REQUESTS + REQUESTS / 5 + 20, "{attempts} attempts");
         assert!(attempts > REQUESTS, "some requests are retried");
     });
--- a/crates/router/tests/poison.rs
+++ b/crates/router/tests/poison.rs
@@ -25,8 +25,9 @@
 /// Time after the third crash within which every router must have learned of it.
 const PROPAGATION_TIME: Duration = Duration::from_millis(2_500);
 
-/// Number of further crashes allowed after the third one.
-const EXTRA_CRASHES_ALLOWED: usize = 3;
+/// How many more times the request may be sent to an engine, and crash it, after
+/// the third crash.
+const MAX_SENDS_AFTER_THIRD_CRASH: usize = 3;
 
 fn deadly_request() -> String {
     serde_json::json!({ "workspace": "kili-checks", "prompt": format!("w0 w1 w2 {CRASH_TEXT}"),
@@ -90,7 +91,7 @@
             break;
         }
     }
-    assert!((3..=3 + EXTRA_CRASHES_ALLOWED).contains(&crashes), "{crashes} crashes");
+    assert!((3..=3 + MAX_SENDS_AFTER_THIRD_CRASH).contains(&crashes), "{crashes} crashes");
     std::thread::sleep(PROPAGATION_TIME);
     assert_quarantined(&mut site);
     // Other requests of the same workspace are still served.
--- a/crates/router/tests/restart.rs
+++ b/crates/router/tests/restart.rs
@@ -17,8 +17,8 @@
 }
 
 /// Sends every prompt to `router` and returns the cached tokens of each. The
-/// order differs from that of [`site_with_filled_caches`], so that round-robin selection of
-/// engines cannot pass for routing by cache contents.
+/// order differs from that of [`site_with_filled_caches`], so that round-robin
+/// selection of engines cannot pass for routing by cache contents.
 async fn send_all(router: &str) -> Vec<u64> {
     send(router, (0..PROMPTS).rev()).await
 }
@@ -115,8 +115,8 @@
     run(async move {
         site.wait_ready(0).await;
         send_all(&site.routers[0]).await;
-        let swap = site.configure("kili-checks", "maglev").await;
-        site.wait_config_applied(swap).await;
+        let change = site.configure("kili-checks", "maglev").await;
+        site.wait_config_applied(change).await;
         let dump = state(&site.routers[0]).await.unwrap();
         assert_eq!(dump["config"]["routing"]["kili-checks"]["policy"], "maglev");
     });
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -160,7 +160,7 @@
 
 #[test]
 fn chunks_of_another_request_never_reach_a_caller() {
-    // Every second response of each engine begins with a chunk under another request's id.
+    // Every second response of each engine begins with a chunk of another request.
     let site = configured(2, &["--cross-every", "2"], &[]);
     run(async move {
         let mut ids = std::collections::HashSet::new();
@@ -176,7 +176,7 @@
                 Some(error) => assert!(chunks.is_empty() && !error.error.not_run, "{error:?}"),
             }
         }
-        assert!(complete >= 6, "too few complete responses: {complete} of 12");
+        assert!(complete >= 6, "the other engine answers most requests: {complete} of 12");
     });
 }
 
@@ -220,7 +220,7 @@
         let answer: ErrorBody = serde_json::from_str(&text).expect("error body");
         assert_eq!((status, answer.error.not_run), (502, false), "{text}");
         assert_eq!(answer.error.peer, site.engines[0]);
-        // Only engine 1 is still in use and it refuses the request, so "not run" is true.
+        // Only engine 1 is left to try, and it refuses the request: "not run" is true.
         let (status, text) = post(&url, &completion("kili-checks", 64, 4, false)).await;
         let answer: ErrorBody = serde_json::from_str(&text).expect("error body");
         assert_eq!((status, answer.error.not_run), (503, true), "{text}");
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -69,12 +69,17 @@
 
 impl Caller {
     /// Returns the router to use now; asks for one when none is assigned.
-    async fn router(&self, client: &Client, routers: &[String], name: usize) -> Option<String> {
+    async fn router(
+        &self,
+        client: &Client,
+        routers: &[String],
+        caller_index: usize,
+    ) -> Option<String> {
         let assigned = self.assigned.borrow().clone();
         if let Some((router, _)) = assigned.filter(|(_, until)| Instant::now() < *until) {
             return Some(router);
         }
-        let answer = match ask_route(client, routers, name).await {
+        let answer = match ask_route(client, routers, caller_index).await {
             Ok(answer) => answer,
             Err(error) => {
                 tracing::warn!(target: "load", "load: {error}.");
@@ -129,10 +134,10 @@
         let (client, run) = (client.clone(), run.clone());
         let (callers, routers) = (callers.clone(), routers.clone());
         tasks.push(ntex::rt::spawn(async move {
-            let name = index % callers.len();
-            match callers[name].router(&client, &routers, name).await {
+            let caller_index = index % callers.len();
+            match callers[caller_index].router(&client, &routers, caller_index).await {
                 Some(router) if !send(&client, &router, call, deadline_ms, &run).await => {
-                    callers[name].forget()
+                    callers[caller_index].forget()
                 }
                 Some(_) => {}
                 None => run.borrow_mut().measures.lost += 1,
@@ -158,11 +163,15 @@
     })
 }
 
-/// Asks routers in turn, as caller `name`, which router to use.
-async fn ask_route(client: &Client, routers: &[String], name: usize) -> Result<RouteAnswer, Error> {
+/// Asks routers in turn, as caller `caller_index`, which router to use.
+async fn ask_route(
+    client: &Client,
+    routers: &[String],
+    caller_index: usize,
+) -> Result<RouteAnswer, Error> {
     let mut last_error = String::from("no router configured");
     for router in routers {
-        let url = format!("http://{router}/v1/route?caller=caller-{name}");
+        let url = format!("http://{router}/v1/route?caller=caller-{caller_index}");
         match client.get(&url).send().await {
             Ok(mut response) if response.status().is_success() => {
                 let body = response
@@ -240,7 +249,7 @@
         return true;
     }
     let mut events = response.eventsource();
-    let mut first = None;
+    let mut ttft = None;
     let mut next_seq = 0u32;
     let mut id = None;
     while let Some(Ok(event)) = events.next().await {
@@ -254,7 +263,7 @@
                 let Ok(chunk) = serde_json::from_str::<Chunk>(data) else {
                     break;
                 };
-                first.get_or_insert_with(|| sent.elapsed());
+                ttft.get_or_insert_with(|| sent.elapsed());
                 let request_id = *id.get_or_insert(chunk.id);
                 if chunk.id != request_id || chunk.seq != next_seq {
                     run.borrow_mut().measures.repeated += 1;
@@ -273,7 +282,7 @@
                     m.prompt += usage.prompt_tokens.0;
                     m.cached += usage.cached_tokens.0;
                     m.wasted += wasted;
-                    let _ = m.ttft.record(first.unwrap_or_default().as_micros().max(1) as u64);
+                    let _ = m.ttft.record(ttft.unwrap_or_default().as_micros().max(1) as u64);
                     return true;
                 }
             }
