--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::claims::{Answer, ClaimRecord, Claims};
 use marjoram_core::config::{Config, Record};
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::ids::{BlockHash, Offset, WorkspaceId};
-use marjoram_core::poison::{CrashReport, Quarantine, Quarantined, Recent, Suspects};
+use marjoram_core::poison::{CrashReport, Quarantine, Quarantined, RecentCompletions, Suspects};
 
 #[global_allocator]
 static ALLOC: dhat::Alloc = dhat::Alloc;
@@ -71,8 +71,8 @@
     }
     println!("poison: {} in quarantine, {} bytes", quarantine.len(), heap() - before);
     let before = heap();
-    let mut recent = Recent::new();
-    recent.note(Fingerprint(1), Duration::ZERO);
+    let mut recent = RecentCompletions::new();
+    recent.record(Fingerprint(1), Duration::ZERO);
     println!("poison: recently completed requests, {} bytes", heap() - before);
 }
 
@@ -80,12 +80,12 @@
     let _profiler = dhat::Profiler::builder().testing().build();
     for blocks in [100_000u64, 1_000_000] {
         let before = heap();
-        let index = Picture::new();
+        let index = CacheIndex::new();
         for start in (0..blocks).step_by(16) {
             let batch: Vec<BlockHash> = (start..start + 16)
                 .map(|i| BlockHash(i.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
                 .collect();
-            index.stored(Slot((start % 12) as u8), Life::default(), &batch);
+            index.stored(Slot((start % 12) as u8), CacheGeneration::default(), &batch);
         }
         let bytes = heap() - before;
         println!(
--- a/crates/core/benches/placement.rs
+++ b/crates/core/benches/placement.rs
@@ -5,7 +5,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use marjoram_core::events::Splitter;
-use marjoram_core::place::{self, Candidate, Copying, Need, WeightsAge};
+use marjoram_core::place::{self, Candidate, CopyableCache, Need, WeightsAge};
 
 fn candidates(count: u64) -> Vec<Candidate> {
     let candidate = |n: u64| Candidate {
@@ -17,13 +17,13 @@
         capacity: 165_614,
         pace: 49.6,
         held: if n.is_multiple_of(9) { 13_300 } else { 0 },
-        copy: Some(Copying { held: 13_300, token_ms: 0.0024 }),
+        copy: Some(CopyableCache { held: 13_300, token_ms: 0.0024 }),
         failures: 0.0,
-        far: !n.is_multiple_of(4),
+        remote: !n.is_multiple_of(4),
         weights: n % 2,
-        age: WeightsAge::Good,
-        lane: n.is_multiple_of(4),
-        drawn: true,
+        age: WeightsAge::Current,
+        in_partition: n.is_multiple_of(4),
+        sampled: true,
     };
     (0..count).map(candidate).collect()
 }
--- a/crates/core/benches/poison.rs
+++ b/crates/core/benches/poison.rs
@@ -6,7 +6,7 @@
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use marjoram_core::fingerprint::Fingerprint;
-use marjoram_core::poison::{CrashReport, Quarantine, Quarantined, SETTLE, Suspects};
+use marjoram_core::poison::{CRASH_REPORT_WINDOW, CrashReport, Quarantine, Quarantined, Suspects};
 
 /// Requests in flight on an engine at its crash.
 const IN_FLIGHT: u64 = 64;
@@ -56,9 +56,9 @@
             full_suspects,
             |mut suspects| {
                 for request in 0..IN_FLIGHT {
-                    suspects.add(&report(request, 9_000), SETTLE);
+                    suspects.add(&report(request, 9_000), CRASH_REPORT_WINDOW);
                 }
-                (suspects.detect(SETTLE * 2), suspects)
+                (suspects.detect(CRASH_REPORT_WINDOW * 2), suspects)
             },
             BatchSize::LargeInput,
         );
--- a/crates/core/benches/routing.rs
+++ b/crates/core/benches/routing.rs
@@ -9,10 +9,10 @@
 use std::hint::black_box;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::config::{Config, Record};
 use marjoram_core::ids::{BlockHash, ModelVersion, Offset, Tokens, WorkspaceId};
-use marjoram_core::policy::{Ask, Candidate, PolicyName, Router};
+use marjoram_core::policy::{Candidate, PolicyInput, PolicyName, Router};
 use marjoram_core::prefix::Prefix;
 
 const ENGINES: u8 = 12;
@@ -21,11 +21,11 @@
     (0..tokens).map(|i| format!("clause{i}")).collect::<Vec<_>>().join(" ")
 }
 
-fn filled_index(prefix: &Prefix) -> Picture {
-    let index = Picture::new();
+fn filled_index(prefix: &Prefix) -> CacheIndex {
+    let index = CacheIndex::new();
     for slot in 0..ENGINES {
         let cached = prefix.blocks.len() * usize::from(slot) / usize::from(ENGINES);
-        index.stored(Slot(slot), Life::default(), &prefix.blocks[..cached]);
+        index.stored(Slot(slot), CacheGeneration::default(), &prefix.blocks[..cached]);
     }
     index
 }
@@ -54,7 +54,7 @@
                         matched: m,
                     })
                     .collect();
-                router.pick(name, Ask { prefix: &prefix, params: &params }, &candidates)
+                router.pick(name, PolicyInput { prefix: &prefix, params: &params }, &candidates)
             })
         });
     }
@@ -65,7 +65,7 @@
 }
 
 fn ingest(c: &mut Criterion) {
-    let index = Picture::new();
+    let index = CacheIndex::new();
     let mut next = 0u64;
     c.bench_function("ingest/stored_16", |b| {
         b.iter(|| {
@@ -73,7 +73,7 @@
                 .map(|i| BlockHash((next + i).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
                 .collect();
             next += 16;
-            index.stored(Slot((next % 12) as u8), Life::default(), &blocks);
+            index.stored(Slot((next % 12) as u8), CacheGeneration::default(), &blocks);
             if next.is_multiple_of(1 << 20) {
                 (0..12).for_each(|s| index.clear(Slot(s)));
             }
--- a/crates/core/tests/cache_news.rs
+++ b/crates/core/tests/cache_news.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
+use marjoram_core::cache_updates::UpdateQueue;
 use marjoram_core::exchange::{Part, PartId};
-use marjoram_core::holdings::{CacheId, Event, Holdings, Page};
-use marjoram_core::news::Digest;
+use marjoram_core::part_index::{CacheId, Event, Page, PartIndex};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,8 +21,8 @@
 const TOKENS: u64 = 13_300;
 
 struct Host {
-    holdings: Holdings,
-    digest: Digest,
+    holdings: PartIndex,
+    digest: UpdateQueue,
     next_target: usize,
 }
 
@@ -32,7 +32,7 @@
 fn share_known(per_s: f64, seconds: u32, sends_updates: bool) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let cache = CacheId::new("1");
-    let new = |_| Host { holdings: Holdings::new(), digest: Digest::new(), next_target: 0 };
+    let new = |_| Host { holdings: PartIndex::new(), digest: UpdateQueue::new(), next_target: 0 };
     let mut hosts: Vec<Host> = (0..HOSTS).map(new).collect();
     let (mut cached, mut number) = (Vec::<u64>::new(), 0);
     let (mut known, mut checked) = (0u64, 0u64);
@@ -56,7 +56,7 @@
         }
         let page = Page { epoch: 1, next: number + 1, lost: false, events };
         for host in hosts.iter_mut().take(READERS) {
-            let large = host.holdings.large(&page);
+            let large = host.holdings.large_part_events(&page);
             host.digest.add(9, page.epoch, &large, now);
             host.holdings.apply(&page);
         }
@@ -64,11 +64,11 @@
             let host = &mut hosts[reader];
             let first = host.next_target;
             host.next_target = (first + FANOUT) % HOSTS;
-            let updates = host.digest.lately(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
+            let updates = host.digest.recent(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
             for target in (first..first + FANOUT).map(|i| i % HOSTS).filter(|t| *t >= READERS) {
                 if sends_updates && !rng.random_bool(LOSS) {
                     updates.iter().for_each(|update| {
-                        hosts[target].holdings.hear(update.epoch, &update.event())
+                        hosts[target].holdings.apply_remote(update.epoch, &update.event())
                     });
                 }
             }
@@ -77,7 +77,7 @@
             for host in &hosts {
                 for part in &cached {
                     let parts = [Part { id: PartId(*part), tokens: TOKENS }];
-                    known += u64::from(host.holdings.held(cache, &parts) > 0);
+                    known += u64::from(host.holdings.cached_tokens(cache, &parts) > 0);
                     checked += 1;
                 }
             }
@@ -100,9 +100,9 @@
     let cache = CacheId::new("1");
     let event = |n| Event { number: n, cache, part: PartId(n), tokens: TOKENS };
     let events: Vec<Event> = (0..1_000).map(event).collect();
-    let mut digest = Digest::new();
+    let mut digest = UpdateQueue::new();
     digest.add(9, 1, &events, PERIOD);
-    let sent = digest.lately(PERIOD, PERIOD);
+    let sent = digest.recent(PERIOD, PERIOD);
     assert!(sent.len() < 64, "{} events do not fit into a heartbeat", sent.len());
     assert_eq!(sent[0].event(), event(999));
 }
@@ -113,11 +113,11 @@
 fn a_part_that_is_read_in_pieces_is_sent_once_as_a_whole() {
     let cache = CacheId::new("1");
     let event = |number, part, tokens| Event { number, cache, part: PartId(part), tokens };
-    let mut digest = Digest::new();
+    let mut digest = UpdateQueue::new();
     for piece in 1..=4 {
         digest.add(9, 1, &[event(piece, 7, piece * 2_048), event(piece + 4, 8, 0)], PERIOD);
     }
     let sent: Vec<Event> =
-        digest.lately(PERIOD, PERIOD).iter().map(|update| update.event()).collect();
+        digest.recent(PERIOD, PERIOD).iter().map(|update| update.event()).collect();
     assert_eq!(sent, [event(8, 8, 0), event(4, 7, 8_192)]);
 }
--- a/crates/core/tests/candidacy_model.rs
+++ b/crates/core/tests/candidacy_model.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use marjoram_core::candidacy::{CANDIDATES, Other, REST, Room, View};
-use marjoram_core::tenure::Stance;
+use marjoram_core::candidacy::{COOL_DOWN, ControlCapacity, OtherHost, PREFERRED_CANDIDATES, View};
+use marjoram_core::leadership::CandidateStatus;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Clone)]
 struct Host {
-    capacity: Room,
+    capacity: ControlCapacity,
     name: u64,
     started: Duration,
     joined: Option<Duration>,
@@ -37,12 +37,12 @@
 }
 
 impl Host {
-    fn effective_capacity(&self, now: Duration) -> Room {
-        if now < self.resting_until { Room::default() } else { self.capacity }
+    fn effective_capacity(&self, now: Duration) -> ControlCapacity {
+        if now < self.resting_until { ControlCapacity::default() } else { self.capacity }
     }
 
-    fn status(&self, now: Duration) -> Stance {
-        Stance::new(self.joined, self.confirmed, LEASE, now)
+    fn status(&self, now: Duration) -> CandidateStatus {
+        CandidateStatus::new(self.joined, self.confirmed, LEASE, now)
     }
 
     fn error_age(&self, now: Duration) -> Option<Duration> {
@@ -58,11 +58,11 @@
 const SETTLED: Duration = Duration::from_secs(20);
 
 /// What each host reported of itself in one step; the others receive it a round later.
-type Reports = Vec<Option<Other>>;
+type Reports = Vec<Option<OtherHost>>;
 
 /// `other` with its age of store errors advanced by `delay`, the time since it was sent.
-fn delayed(other: Other, delay: Duration) -> Other {
-    Other { errors: other.errors.map(|age| age + delay), ..other }
+fn delayed(other: OtherHost, delay: Duration) -> OtherHost {
+    OtherHost { errors: other.errors.map(|age| age + delay), ..other }
 }
 
 struct Site {
@@ -79,7 +79,7 @@
     fn start(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let host = |at: usize| Host {
-            capacity: Room(if at.is_multiple_of(5) {
+            capacity: ControlCapacity(if at.is_multiple_of(5) {
                 10
             } else {
                 20 + rng.random_range(0..3) * 40
@@ -104,7 +104,7 @@
         let delay = POLL * (self.sent.len() as u32 - 1);
         View {
             up: self.now - host.started,
-            vacant: self.now - host.last_candidate,
+            without_candidate: self.now - host.last_candidate,
             round: ROUND,
             pending: self.pending,
             rank: (host.effective_capacity(self.now), host.name),
@@ -118,8 +118,8 @@
         let now = self.now;
         let report = |host: &Host| {
             let rank = (host.effective_capacity(now), host.name);
-            (host.up && now >= host.started).then(|| Other {
-                stance: host.status(now),
+            (host.up && now >= host.started).then(|| OtherHost {
+                candidate_status: host.status(now),
                 rank,
                 errors: host.error_age(now),
             })
@@ -145,7 +145,7 @@
         if !store_answers {
             host.last_error = Some(now);
         }
-        if view.standing() > 0 || host.last_candidate < host.started {
+        if view.candidates() > 0 || host.last_candidate < host.started {
             host.last_candidate = now;
         }
         match (host.joined, store_answers) {
@@ -162,8 +162,10 @@
                     .confirmed
                     .map(|at| now - at)
                     .filter(|since_confirmed| *since_confirmed >= LEASE);
-                if since_confirmed.is_some_and(|since_confirmed| view.rests(since_confirmed)) {
-                    host.resting_until = now + REST;
+                if since_confirmed
+                    .is_some_and(|since_confirmed| view.must_cool_down(since_confirmed))
+                {
+                    host.resting_until = now + COOL_DOWN;
                     host.stop_candidacy();
                 }
             }
@@ -207,10 +209,14 @@
     let mut site = Site::start(1);
     site.run(SETTLED);
     let candidates = site.candidates();
-    assert!(candidates.len() <= CANDIDATES + 2, "{} candidates", candidates.len());
-    assert!(candidates.len() >= CANDIDATES, "{} candidates", candidates.len());
+    assert!(candidates.len() <= PREFERRED_CANDIDATES + 2, "{} candidates", candidates.len());
+    assert!(candidates.len() >= PREFERRED_CANDIDATES, "{} candidates", candidates.len());
     let least_capacity = candidates.iter().map(|at| site.hosts[*at].capacity).min();
-    assert_eq!(least_capacity, Some(Room(100)), "a host with less capacity is a candidate");
+    assert_eq!(
+        least_capacity,
+        Some(ControlCapacity(100)),
+        "a host with less capacity is a candidate"
+    );
 }
 
 #[test]
@@ -253,7 +259,7 @@
     }
     // Each candidate that stops is replaced, and is a candidate again before its
     // replacement has received that and leaves.
-    assert!(most_candidates <= CANDIDATES + 8, "{most_candidates} candidates at once");
+    assert!(most_candidates <= PREFERRED_CANDIDATES + 8, "{most_candidates} candidates at once");
 }
 
 #[test]
@@ -270,7 +276,7 @@
     site.run(SETTLED);
     let candidates = site.candidates().len();
     assert!(
-        (CANDIDATES..=CANDIDATES + 8).contains(&candidates),
+        (PREFERRED_CANDIDATES..=PREFERRED_CANDIDATES + 8).contains(&candidates),
         "{candidates} candidates after the outage"
     );
 }
@@ -284,8 +290,8 @@
     site.run(LEASE + POLL * 2);
     assert!(site.hosts[at].joined.is_none(), "it is still a candidate");
     site.hosts[at].disconnected = false;
-    site.run(REST / 2);
+    site.run(COOL_DOWN / 2);
     assert!(!site.candidates().contains(&at), "it is a candidate again before its rest has ended");
-    site.run(REST / 2 + Duration::from_secs(10));
+    site.run(COOL_DOWN / 2 + Duration::from_secs(10));
     assert!(site.candidates().contains(&at), "it is not a candidate again after its rest");
 }
--- a/crates/core/tests/chains.rs
+++ b/crates/core/tests/chains.rs
@@ -3,8 +3,8 @@
 //! not count as evidence that the inner ones are cached.
 
 use marjoram_core::exchange::{Part, PartId, Prompt};
-use marjoram_core::holdings::{CacheId, Event, Holdings, Page};
-use marjoram_core::place::{self, Candidate, Copying, Need, WeightsAge};
+use marjoram_core::part_index::{CacheId, Event, Page, PartIndex};
+use marjoram_core::place::{self, Candidate, CopyableCache, Need, WeightsAge};
 
 const ENGINES: u64 = 12;
 const ROOTS: u64 = 3;
@@ -19,7 +19,7 @@
 /// Number of prefix paths for which each engine is the preferred one.
 fn preferred_counts() -> Vec<usize> {
     let preferred = |chain| {
-        let key = prompt(chain).chain();
+        let key = prompt(chain).prefix_hash();
         (0..ENGINES).max_by_key(|engine| place::rank(key, engine * 7_919)).unwrap()
     };
     let preferred_engines: Vec<u64> = (0..CHAINS).map(preferred).collect();
@@ -42,14 +42,14 @@
 fn a_cached_root_does_not_count_as_a_cached_prefix_path() {
     let cache = CacheId::new("1");
     let event = Event { number: 1, cache, part: PartId(0), tokens: 512 };
-    let mut holdings = Holdings::new();
+    let mut holdings = PartIndex::new();
     holdings.apply(&Page { epoch: 1, next: 2, lost: false, events: vec![event] });
     let (one, other) = (prompt(0), prompt(ROOTS));
-    assert_eq!(holdings.held(cache, one.shared_parts()), 512);
+    assert_eq!(holdings.cached_tokens(cache, one.shared_parts()), 512);
     // The first path was just read there completely; of the other, only the root is there.
     let read = |part: &Part| one.shared_parts().contains(part);
-    assert_eq!(holdings.held_or(cache, one.shared_parts(), read), 5_382);
-    assert_eq!(holdings.held_or(cache, other.shared_parts(), read), 512);
+    assert_eq!(holdings.cached_tokens_assuming(cache, one.shared_parts(), read), 5_382);
+    assert_eq!(holdings.cached_tokens_assuming(cache, other.shared_parts(), read), 512);
 }
 
 #[test]
@@ -58,15 +58,15 @@
     let event =
         |number: u64, part: &Part| Event { number, cache, part: part.id, tokens: part.tokens };
     let events = vec![event(1, &prompt.parts[0]), event(2, &prompt.parts[1])];
-    let (sender, mut other) = (Holdings::new(), Holdings::new());
-    let sent = sender.large(&Page { epoch: 1, next: 3, lost: false, events });
-    sent.iter().for_each(|event| other.hear(1, event));
-    assert_eq!(other.held(cache, prompt.shared_parts()), 5_382);
+    let (sender, mut other) = (PartIndex::new(), PartIndex::new());
+    let sent = sender.large_part_events(&Page { epoch: 1, next: 3, lost: false, events });
+    sent.iter().for_each(|event| other.apply_remote(1, event));
+    assert_eq!(other.cached_tokens(cache, prompt.shared_parts()), 5_382);
 }
 
 #[test]
 fn a_preferred_engine_stays_preferred_while_others_cache_only_the_root() {
-    let root = Some(Copying { held: 512, token_ms: 0.002 });
+    let root = Some(CopyableCache { held: 512, token_ms: 0.002 });
     let idle = Candidate {
         rank: 1,
         unread: 0,
@@ -78,11 +78,11 @@
         held: 0,
         copy: root,
         failures: 0.0,
-        far: false,
+        remote: false,
         weights: 1,
-        age: WeightsAge::Good,
-        lane: true,
-        drawn: true,
+        age: WeightsAge::Current,
+        in_partition: true,
+        sampled: true,
     };
     let preferred = Candidate { rank: 9, unread: 6_000, ..idle };
     let need = Need { input: 11_992, shared: 5_382, output: 380, target: 800.0 };
--- a/crates/core/tests/deadly.rs
+++ b/crates/core/tests/deadly.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use marjoram_core::fingerprint::Fingerprint;
-use marjoram_core::poison::{CRASHES, CrashReport, Suspects};
+use marjoram_core::poison::{CrashReport, MIN_CRASHES, Suspects};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -35,8 +35,8 @@
 const PROPAGATION: Duration = Duration::from_millis(100);
 
 /// Bounds on the crashes caused by one deadly request and on the average over all of them.
-const MAX_CRASHES: usize = 4 * CRASHES;
-const MEAN_CRASHES: usize = CRASHES + 2;
+const MAX_CRASHES: usize = 4 * MIN_CRASHES;
+const MEAN_CRASHES: usize = MIN_CRASHES + 2;
 
 /// Time after the last new deadly request by which all of them are detected.
 const LAST_CRASH_DELAY: Duration = Duration::from_secs(4);
@@ -243,7 +243,7 @@
         }
         self.result.peak_entries = self.result.peak_entries.max(self.suspects.len());
         for (request, upstreams) in self.suspects.detect(now) {
-            assert!(upstreams.len() >= CRASHES);
+            assert!(upstreams.len() >= MIN_CRASHES);
             self.refused.insert(request.0, now + PROPAGATION);
             self.result.detected.insert(request.0);
         }
--- a/crates/core/tests/feed_model.rs
+++ b/crates/core/tests/feed_model.rs
@@ -14,7 +14,7 @@
 
 use std::collections::BTreeSet;
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::feed::{self, Cursor};
 use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
 use marjoram_core::wire::{CacheEvent, CacheEvents, EventKind};
@@ -40,13 +40,13 @@
 }
 
 struct World {
-    life: Life,
+    life: CacheGeneration,
     cache: BTreeSet<u64>,
     events: Vec<CacheEvent>,
     next: u64,
     /// Whether an event of this incarnation was lost.
     lossy: bool,
-    index: Picture,
+    index: CacheIndex,
     cursor: Option<Cursor>,
 }
 
@@ -72,7 +72,7 @@
         let events: Vec<_> =
             self.events.iter().filter(|e| e.seq >= from).take(limit).cloned().collect();
         let next = events.last().map(|e| e.seq + 1).unwrap_or(from);
-        let Life { incarnation, version } = self.life;
+        let CacheGeneration { incarnation, version } = self.life;
         let read = CacheEvents { incarnation, version, next, events };
         let (cursor, _) = feed::apply(&self.index, SLOT, before, &read);
         self.cursor = Some(cursor);
@@ -117,12 +117,12 @@
 
     fn init_test(_: &()) -> World {
         World {
-            life: Life { incarnation: Incarnation(1), version: ModelVersion(1) },
+            life: CacheGeneration { incarnation: Incarnation(1), version: ModelVersion(1) },
             cache: BTreeSet::new(),
             events: Vec::new(),
             next: 0,
             lossy: false,
-            index: Picture::new(),
+            index: CacheIndex::new(),
             cursor: None,
         }
     }
@@ -168,7 +168,7 @@
         while !world.read(4) {}
         check(&world);
         if !world.lossy {
-            let mut indexed: Vec<u64> = world.index.held(SLOT).iter().map(|b| b.0).collect();
+            let mut indexed: Vec<u64> = world.index.blocks_of(SLOT).iter().map(|b| b.0).collect();
             indexed.sort();
             assert_eq!(
                 indexed,
@@ -182,7 +182,7 @@
 /// Checks that the cache index has no entry of another incarnation.
 fn check(world: &World) {
     assert_eq!(world.index.life(SLOT), Some(world.life));
-    for block in world.index.held(SLOT) {
+    for block in world.index.blocks_of(SLOT) {
         assert_eq!(block.0 >> 32, world.life.incarnation.0, "entry of a dead incarnation");
     }
 }
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -23,7 +23,7 @@
 fn replay(period: u32, hosts: usize) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let places: Vec<u64> = (0..ENGINES as u64).map(|e| e * 7_919).collect();
-    let lanes = place::lane(&places, 0.3, false);
+    let lanes = place::pool_partition(&places, 0.3, false);
     // Per engine: host and completion time of each prompt.
     let mut sent: Vec<Vec<(usize, f64)>> = vec![Vec::new(); ENGINES];
     // Per host: the others' prompts at each engine, as last reported.
@@ -40,7 +40,7 @@
             continue;
         }
         let host = rng.random_range(0..HOSTS);
-        let drawn = place::draw(rng.random(), &places, &lanes, hosts);
+        let sampled = place::sample(rng.random(), &places, &lanes, hosts);
         let part = rng.random_range(0..PARTS);
         let own = |e: usize| sent[e].iter().filter(|s| s.0 == host).count();
         let views: Vec<Candidate> = (0..ENGINES)
@@ -55,11 +55,11 @@
                 held: 0,
                 copy: None,
                 failures: 0.0,
-                far: false,
+                remote: false,
                 weights: 1,
-                age: WeightsAge::Good,
-                lane: lanes[e],
-                drawn: drawn[e],
+                age: WeightsAge::Current,
+                in_partition: lanes[e],
+                sampled: sampled[e],
             })
             .collect();
         let need = Need { input: 383, shared: 92, output: 8, target: 400.0 };
--- a/crates/core/tests/members_model.rs
+++ b/crates/core/tests/members_model.rs
@@ -56,9 +56,9 @@
         };
         match self.tables[b].as_mut().filter(|_| !cut) {
             Some(to) => {
-                let ping = from.news();
+                let ping = from.outgoing_updates();
                 to.merge(&ping);
-                from.merge(&to.news());
+                from.merge(&to.outgoing_updates());
                 from.answered(&addr(b));
             }
             None => {
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -5,7 +5,7 @@
 //! request it runs produces one token per step; a step takes longer while a prompt is read.
 //! Hosts decide by what they have sent themselves and by the others' last reports.
 
-use marjoram_core::place::{self, Candidate, Copying, Need, WeightsAge};
+use marjoram_core::place::{self, Candidate, CopyableCache, Need, WeightsAge};
 use rand::Rng;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -127,12 +127,12 @@
     let keeps = |e: &Engine| request.part.is_some_and(|p| e.kept.contains(&p));
     let any = engines.iter().any(keeps);
     let places: Vec<u64> = (0..engines.len() as u64).collect();
-    let lanes = place::lane(&places, 0.25, shared > 0);
+    let lanes = place::pool_partition(&places, 0.25, shared > 0);
     let views: Vec<Candidate> = engines
         .iter()
         .zip(lanes)
         .zip(&places)
-        .map(|((e, lane), place)| Candidate {
+        .map(|((e, in_partition), place)| Candidate {
             rank: place::rank(request.part.unwrap_or_default(), *place),
             unread: e.unread(request.host, now, scenario.report_delay_ms),
             running: 0,
@@ -142,13 +142,13 @@
             pace: THROUGHPUT,
             held: if scenario.cache_known && keeps(e) { shared } else { 0 },
             copy: (scenario.cache_known && any && !keeps(e))
-                .then_some(Copying { held: shared, token_ms: 0.0024 }),
+                .then_some(CopyableCache { held: shared, token_ms: 0.0024 }),
             failures: 0.0,
-            far: false,
+            remote: false,
             weights: 1,
-            age: WeightsAge::Good,
-            lane,
-            drawn: true,
+            age: WeightsAge::Current,
+            in_partition,
+            sampled: true,
         })
         .collect();
     let target = if shared > 0 { 800.0 } else { 400.0 };
@@ -156,7 +156,9 @@
     let choice = place::place(Need { input, shared, output: 30, target }, &views).unwrap();
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
     let ahead = views[choice.engine].unread;
-    if scenario.queue_large && place::waits(input, ahead, ms(now - request.arrived), ms(10_000.0)) {
+    if scenario.queue_large
+        && place::must_wait(input, ahead, ms(now - request.arrived), ms(10_000.0))
+    {
         return Some(request);
     }
     let copied = any && choice.copies;
--- a/crates/core/tests/picture_model.rs
+++ b/crates/core/tests/picture_model.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use marjoram_core::cache::{Life, Picture, Slot};
+use marjoram_core::cache::{CacheGeneration, CacheIndex, Slot};
 use marjoram_core::ids::{BlockHash, Incarnation, ModelVersion};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -21,22 +21,24 @@
 
 #[derive(Debug, Clone, Default)]
 struct Model {
-    slots: HashMap<u8, (Life, HashSet<u64>)>,
+    slots: HashMap<u8, (CacheGeneration, HashSet<u64>)>,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Stored(u8, Life, Vec<u64>),
-    Predicted(u8, Life, Vec<u64>),
-    Removed(u8, Life, Vec<u64>),
-    Begin(u8, Life),
+    Stored(u8, CacheGeneration, Vec<u64>),
+    Predicted(u8, CacheGeneration, Vec<u64>),
+    Removed(u8, CacheGeneration, Vec<u64>),
+    Begin(u8, CacheGeneration),
     Clear(u8),
     Query(Vec<u64>, Vec<u8>),
 }
 
-fn life() -> impl Strategy<Value = Life> {
-    (0u64..3, 1u32..3)
-        .prop_map(|(i, v)| Life { incarnation: Incarnation(i), version: ModelVersion(v) })
+fn life() -> impl Strategy<Value = CacheGeneration> {
+    (0u64..3, 1u32..3).prop_map(|(i, v)| CacheGeneration {
+        incarnation: Incarnation(i),
+        version: ModelVersion(v),
+    })
 }
 
 fn blocks() -> impl Strategy<Value = Vec<u64>> {
@@ -117,14 +119,14 @@
 }
 
 impl StateMachineTest for IndexTest {
-    type SystemUnderTest = Picture;
+    type SystemUnderTest = CacheIndex;
     type Reference = IndexModel;
 
-    fn init_test(_: &Model) -> Picture {
-        Picture::new()
+    fn init_test(_: &Model) -> CacheIndex {
+        CacheIndex::new()
     }
 
-    fn apply(index: Picture, model: &Model, step: Step) -> Picture {
+    fn apply(index: CacheIndex, model: &Model, step: Step) -> CacheIndex {
         match step {
             Step::Stored(slot, life, blocks) => index.stored(Slot(slot), life, &hashes(&blocks)),
             Step::Predicted(slot, life, blocks) => {
@@ -146,7 +148,7 @@
         index
     }
 
-    fn check_invariants(index: &Picture, model: &Model) {
+    fn check_invariants(index: &CacheIndex, model: &Model) {
         for slot in 0..SLOTS {
             assert_eq!(index.life(Slot(slot)), model.slots.get(&slot).map(|(life, _)| *life));
         }
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -7,7 +7,8 @@
 
 use marjoram_core::fingerprint::Fingerprint;
 use marjoram_core::poison::{
-    Admission, CRASHES, CrashReport, Quarantine, Quarantined, SETTLE, Suspects, TERM,
+    Admission, CRASH_REPORT_WINDOW, CrashReport, MIN_CRASHES, QUARANTINE_TERM, Quarantine,
+    Quarantined, Suspects,
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -28,13 +29,13 @@
     CrashReport { request, upstream, attempt, ran, well: None, at }
 }
 
-/// Adds `reports` one second apart and returns the requests detected once `SETTLE` has passed
+/// Adds `reports` one second apart and returns the requests detected once `CRASH_REPORT_WINDOW` has passed
 /// after the last one.
 fn detect_after(suspects: &mut Suspects, reports: &[CrashReport]) -> Vec<Fingerprint> {
     for (n, e) in reports.iter().enumerate() {
         suspects.add(e, seconds(n as u64));
     }
-    let detected = suspects.detect(seconds(reports.len() as u64) + SETTLE);
+    let detected = suspects.detect(seconds(reports.len() as u64) + CRASH_REPORT_WINDOW);
     detected.into_iter().map(|(request, _)| request).collect()
 }
 
@@ -57,8 +58,8 @@
         suspects.add(&crash_report(POISON, upstream, upstream), seconds(9));
     }
     assert!(suspects.is_pending());
-    assert_eq!(suspects.detect(seconds(9) + SETTLE / 2), []);
-    assert_eq!(suspects.detect(seconds(9) + SETTLE).len(), 1);
+    assert_eq!(suspects.detect(seconds(9) + CRASH_REPORT_WINDOW / 2), []);
+    assert_eq!(suspects.detect(seconds(9) + CRASH_REPORT_WINDOW).len(), 1);
     assert!(!suspects.is_pending());
 }
 
@@ -115,10 +116,10 @@
     // Either of the two may be innocent.
     assert_eq!(detect_after(&mut suspects, &reports), []);
     suspects.add(&crash_report(POISON, 4, 4), seconds(20));
-    let next = suspects.detect(seconds(20) + SETTLE);
+    let next = suspects.detect(seconds(20) + CRASH_REPORT_WINDOW);
     assert_eq!(next, [(POISON, vec![1, 2, 3, 4])]);
     suspects.add(&crash_report(Fingerprint(1), 5, 5), seconds(21));
-    assert_eq!(suspects.detect(seconds(21) + SETTLE), []);
+    assert_eq!(suspects.detect(seconds(21) + CRASH_REPORT_WINDOW), []);
 }
 
 /// Hosts report at different times, and at five crashes one request is detected in any case.
@@ -186,7 +187,7 @@
     }
     let at = Duration::from_millis(1_163);
     suspects.add(&CrashReport { at, ..crash_report(POISON, 5, 12) }, at);
-    let detected = suspects.detect(at + SETTLE);
+    let detected = suspects.detect(at + CRASH_REPORT_WINDOW);
     assert_eq!(detected, [(POISON, vec![1, 2, 6, 5])]);
 }
 
@@ -217,11 +218,11 @@
         suspects.add(&crash_report(POISON, upstream, upstream), seconds(1));
         suspects.add(&crash_report(other, upstream, upstream), seconds(1));
     }
-    assert!(suspects.withholds(POISON) && suspects.is_unjudged());
-    assert_eq!(suspects.detect(seconds(1) + SETTLE / 2), []);
+    assert!(suspects.withholds(POISON) && suspects.has_unevaluated());
+    assert_eq!(suspects.detect(seconds(1) + CRASH_REPORT_WINDOW / 2), []);
     assert!(suspects.withholds(POISON));
-    assert_eq!(suspects.detect(seconds(1) + SETTLE), []);
-    assert!(!suspects.withholds(POISON) && !suspects.is_unjudged());
+    assert_eq!(suspects.detect(seconds(1) + CRASH_REPORT_WINDOW), []);
+    assert!(!suspects.withholds(POISON) && !suspects.has_unevaluated());
     suspects.add(&crash_report(POISON, 4, 4), seconds(2));
     assert!(suspects.withholds(POISON) && !suspects.withholds(other));
 }
@@ -246,7 +247,7 @@
         let well = Some(Duration::from_millis(400));
         let report = CrashReport { well, ..crash_report(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
-        assert_eq!(suspects.detect(seconds(upstream) + SETTLE), []);
+        assert_eq!(suspects.detect(seconds(upstream) + CRASH_REPORT_WINDOW), []);
     }
     // Its last successful run was shortly before these crashes.
     for upstream in 21..=25 {
@@ -254,7 +255,7 @@
         let report = CrashReport { well, ..crash_report(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
     }
-    assert_eq!(suspects.detect(seconds(25) + SETTLE).len(), 1);
+    assert_eq!(suspects.detect(seconds(25) + CRASH_REPORT_WINDOW).len(), 1);
 }
 
 /// A host that was suspended reads all reports of that time at once on resuming.
@@ -271,7 +272,7 @@
     for index in order {
         suspects.add(&reports[*index], seconds(29));
     }
-    assert_eq!(suspects.detect(seconds(29) + SETTLE), []);
+    assert_eq!(suspects.detect(seconds(29) + CRASH_REPORT_WINDOW), []);
 }
 
 /// Successful runs long ago do not count: the software that runs the request may have changed.
@@ -385,7 +386,9 @@
         retried = still_retried;
         in_flight.iter().for_each(|report| suspects.add(report, now));
         peak_entries = peak_entries.max(suspects.len());
-        detected.extend(suspects.detect(now + SETTLE).into_iter().map(|(request, _)| request));
+        detected.extend(
+            suspects.detect(now + CRASH_REPORT_WINDOW).into_iter().map(|(request, _)| request),
+        );
     }
     Replayed { detected, innocent: next - FIRST_INNOCENT, crashes, peak_entries }
 }
@@ -395,7 +398,7 @@
     for seed in 0..200 {
         let replayed = burst(seed, 1);
         assert_eq!(replayed.detected, [POISON], "seed {seed}");
-        assert_eq!(replayed.crashes, [CRASHES], "seed {seed}");
+        assert_eq!(replayed.crashes, [MIN_CRASHES], "seed {seed}");
         assert!(
             replayed.peak_entries <= 4_096 + 1_024,
             "seed {seed}: {} entries held",
@@ -413,7 +416,7 @@
         innocent_detected +=
             replayed.detected.iter().filter(|r| r.0 >= FIRST_INNOCENT).count() as u64;
         assert!(
-            replayed.crashes.iter().all(|c| *c <= CRASHES + 3),
+            replayed.crashes.iter().all(|c| *c <= MIN_CRASHES + 3),
             "seed {seed}: {:?}",
             replayed.crashes
         );
@@ -454,8 +457,8 @@
         for (n, (request, upstream, attempt)) in crashes.iter().enumerate() {
             let now = seconds(n as u64);
             suspects.add(&crash_report(Fingerprint(*request), *upstream, *attempt), now);
-            for (request, upstreams) in suspects.detect(now + SETTLE) {
-                prop_assert!(upstreams.len() >= CRASHES);
+            for (request, upstreams) in suspects.detect(now + CRASH_REPORT_WINDOW) {
+                prop_assert!(upstreams.len() >= MIN_CRASHES);
                 let own_crashes = crashes[..=n].iter().filter(|(r, ..)| Fingerprint(*r) == request);
                 let own_crashes: Vec<u64> = own_crashes.map(|(_, upstream, _)| *upstream).collect();
                 prop_assert!(upstreams.iter().all(|u| own_crashes.contains(u)));
@@ -475,29 +478,29 @@
     let (mut quarantine, begun) = (Quarantine::new(), seconds(1_000_000));
     quarantine.admit(entry(0, begun), begun);
     let crash = crash_report(POISON, 4, 4);
-    assert_eq!(quarantine.again(&crash, begun + TERM / 2), None);
-    let later = begun + TERM + seconds(5);
+    assert_eq!(quarantine.recurrence(&crash, begun + QUARANTINE_TERM / 2), None);
+    let later = begun + QUARANTINE_TERM + seconds(5);
     assert_eq!(quarantine.refuses(POISON, later), None);
-    let again = quarantine.again(&crash, later).expect("the entry is kept after its term");
+    let again = quarantine.recurrence(&crash, later).expect("the entry is kept after its term");
     assert_eq!(quarantine.admit(again.clone(), later), Admission::New(None));
-    assert_eq!(quarantine.refuses(POISON, later), Some(TERM * 2));
+    assert_eq!(quarantine.refuses(POISON, later), Some(QUARANTINE_TERM * 2));
     // An older entry from another host changes nothing.
     assert_eq!(quarantine.admit(entry(0, begun), later), Admission::Known);
-    assert_eq!(quarantine.extent(), 2);
+    assert_eq!(quarantine.detection_count(), 2);
 }
 
 #[test]
 fn a_request_that_completed_after_its_term_is_not_quarantined_by_one_more_crash() {
     let (mut quarantine, begun) = (Quarantine::new(), seconds(1_000_000));
     quarantine.admit(entry(0, begun), begun);
-    let now = begun + TERM + seconds(5);
+    let now = begun + QUARANTINE_TERM + seconds(5);
     let fixed = CrashReport { well: Some(seconds(2)), ..crash_report(POISON, 4, 4) };
-    assert_eq!(quarantine.again(&fixed, now), None);
-    let long_ago = CrashReport { well: Some(TERM * 2), ..crash_report(POISON, 4, 4) };
-    assert!(quarantine.again(&long_ago, now).is_some());
+    assert_eq!(quarantine.recurrence(&fixed, now), None);
+    let long_ago = CrashReport { well: Some(QUARANTINE_TERM * 2), ..crash_report(POISON, 4, 4) };
+    assert!(quarantine.recurrence(&long_ago, now).is_some());
     // A day later its entry is dropped.
-    assert_eq!(quarantine.expire(begun + TERM * 30), [POISON]);
-    assert_eq!(quarantine.admit(entry(0, begun), begun + TERM * 30), Admission::Over);
+    assert_eq!(quarantine.expire(begun + QUARANTINE_TERM * 30), [POISON]);
+    assert_eq!(quarantine.admit(entry(0, begun), begun + QUARANTINE_TERM * 30), Admission::Over);
 }
 
 #[test]
--- a/crates/core/tests/policies.rs
+++ b/crates/core/tests/policies.rs
@@ -4,7 +4,7 @@
 use marjoram_core::cache::Slot;
 use marjoram_core::ids::{ModelVersion, Tokens, WorkspaceId};
 use marjoram_core::params::Params;
-use marjoram_core::policy::{Ask, Candidate, MaglevTable, PolicyName, Router};
+use marjoram_core::policy::{Candidate, MaglevTable, PolicyInput, PolicyName, Router};
 use marjoram_core::prefix::Prefix;
 use test_case::test_case;
 
@@ -63,10 +63,10 @@
     assert_eq!(one, Prefix::new(&text, &a, ModelVersion(1)));
 }
 
-fn ask_with(prefix: &Prefix, params: &Params) -> Ask<'static> {
+fn ask_with(prefix: &Prefix, params: &Params) -> PolicyInput<'static> {
     let prefix: &'static Prefix = Box::leak(Box::new(prefix.clone()));
     let params: &'static Params = Box::leak(Box::new(*params));
-    Ask { prefix, params }
+    PolicyInput { prefix, params }
 }
 
 fn candidate(slot: u8, load: u32, matched: u32) -> Candidate {
--- a/crates/core/tests/quota_model/world.rs
+++ b/crates/core/tests/quota_model/world.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use marjoram_core::quota::gate::{Admission, Gate};
-use marjoram_core::quota::ledger::{Hosts, Ledger, Sender, Usage, Verdict};
-use marjoram_core::quota::{ACCOUNTS, Limit, REPORT_INTERVAL, RESERVED};
+use marjoram_core::quota::ledger::{Allocation, Hosts, Ledger, Sender, Usage};
+use marjoram_core::quota::{COORDINATORS, Limit, REPORT_INTERVAL, RESERVATION_TIME};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -229,7 +229,7 @@
             let last = host.last_heartbeats.get(&other);
             match last {
                 Some(at) if self.now < *at + HEARTBEAT_TIMEOUT => heard += 1,
-                _ if self.now < *last.unwrap_or(&host.added) + RESERVED => {
+                _ if self.now < *last.unwrap_or(&host.added) + RESERVATION_TIME => {
                     silent.insert(other as u64);
                 }
                 _ => {}
@@ -245,7 +245,7 @@
         let is_reachable = |m: &usize| {
             *m == n || last_heartbeats.get(m).is_some_and(|at| self.now < *at + HEARTBEAT_TIMEOUT)
         };
-        (0..self.hosts.len()).filter(is_reachable).take(ACCOUNTS).collect()
+        (0..self.hosts.len()).filter(is_reachable).take(COORDINATORS).collect()
     }
 
     fn report(&mut self) {
@@ -256,7 +256,7 @@
             let (hosts, limit) = (self.reachability(n), self.limit());
             let host = &mut self.hosts[n];
             let uptime = self.now - host.started;
-            host.ledger.settle(WORKSPACE, &limit, &hosts, uptime);
+            host.ledger.advance(WORKSPACE, &limit, &hosts, uptime);
             host.hosts = hosts;
             let usages = host.gate.usages(limit.tolerance.window, uptime);
             let sender = Sender { host: n as u64, life: host.incarnation };
@@ -264,25 +264,30 @@
                 if !self.reaches(n, to) {
                     continue;
                 }
-                let Some(verdict) = self.deliver_report(to, sender, &usages) else { continue };
+                let Some(allocation) = self.deliver_report(to, sender, &usages) else { continue };
                 if self.reaches(to, n) {
-                    self.hosts[n].gate.hear(to as u64, verdict, uptime);
+                    self.hosts[n].gate.apply(to as u64, allocation, uptime);
                 }
             }
         }
     }
 
-    fn deliver_report(&mut self, at: usize, sender: Sender, usages: &[Usage]) -> Option<Verdict> {
+    fn deliver_report(
+        &mut self,
+        at: usize,
+        sender: Sender,
+        usages: &[Usage],
+    ) -> Option<Allocation> {
         let host = &mut self.hosts[at];
         let uptime = self.now - host.started;
         for usage in usages {
             host.ledger.report(sender, usage, uptime);
         }
-        if !host.ledger.is_settled(WORKSPACE) {
+        if !host.ledger.is_initialized(WORKSPACE) {
             let limit = self.limits.last().expect("the initial limit").1;
-            host.ledger.settle(WORKSPACE, &limit, &host.hosts, uptime);
+            host.ledger.advance(WORKSPACE, &limit, &host.hosts, uptime);
         }
-        host.ledger.verdict(WORKSPACE, sender.host).filter(|_| host.hosts.may_account())
+        host.ledger.allocation(WORKSPACE, sender.host).filter(|_| host.hosts.can_coordinate())
     }
 
     /// Issues the calls of one step.
--- a/crates/core/tests/registry_model.rs
+++ b/crates/core/tests/registry_model.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use marjoram_core::upstream::{Born, Entry, Life, RETURN_TIME, Registry, UpstreamId};
+use marjoram_core::upstream::{Entry, Instance, REPUBLISH_GRACE, Registry, StartTime, UpstreamId};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
 fn entry(who: usize, statement: Statement) -> Entry {
     let Statement { born, beat, leaving } = statement;
     Entry {
-        life: Life { id: id(who), born: Born(born) },
+        life: Instance { id: id(who), born: StartTime(born) },
         service: "s".into(),
         addr: ([10, 0, 0, who as u8], 80).into(),
         dc: String::from("dc").into(),
@@ -94,7 +94,7 @@
                         expected.statements.last().map_or((1, 0), |s| (s.born, s.beat));
                     let statement = Statement { born, beat: beat + 1, leaving };
                     expected.statements.push(statement);
-                    registry.state(entry(who, statement), now);
+                    registry.apply(entry(who, statement), now);
                     expected.leaving |=
                         leaving && expected.listed_until.is_none_or(|until| now < until);
                     if expected.listed_until.is_some_and(|until| now >= until) {
@@ -108,14 +108,14 @@
                     let born = expected.statements.last().map_or(1, |s| s.born + 1);
                     let statement = Statement { born, beat: 1, leaving };
                     expected.statements.push(statement);
-                    registry.state(entry(who, statement), now);
+                    registry.apply(entry(who, statement), now);
                     (expected.leaving, expected.listed_until) = (leaving, None);
                 }
                 Step::Repeated { who, back } => {
                     let expected = all_expected.entry(who).or_default();
                     let at = (expected.statements.len() as u64).checked_sub(back);
                     if let Some(statement) = at.map(|at| expected.statements[at as usize]) {
-                        registry.state(entry(who, statement), now);
+                        registry.apply(entry(who, statement), now);
                         // Its newest statement shows that it is still present.
                         let shows_presence =
                             back == 1 && expected.listed_until.is_some_and(|until| now < until);
@@ -125,12 +125,12 @@
                 Step::Overwritten { who } => {
                     let expected = all_expected.entry(who).or_default();
                     expected.listed_until = Some(now);
-                    registry.spoil(&id(who), now);
+                    registry.handle_invalid_record(&id(who), now);
                 }
                 Step::Disappeared { who } => {
                     let expected = all_expected.entry(who).or_default();
                     let grace =
-                        recovered_at.map(|at| at + RETURN_TIME).filter(|until| now < *until);
+                        recovered_at.map(|at| at + REPUBLISH_GRACE).filter(|until| now < *until);
                     let kept = grace.filter(|_| !expected.leaving);
                     expected.listed_until = Some(
                         expected.listed_until.filter(|_| kept.is_some()).or(kept).unwrap_or(now),
@@ -139,7 +139,7 @@
                 }
                 Step::StoreRecovered => {
                     recovered_at = Some(now);
-                    registry.returned(now);
+                    registry.store_recovered(now);
                 }
                 Step::Wait { ms } => now += Duration::from_millis(ms),
             }
--- a/crates/core/tests/relay_model.rs
+++ b/crates/core/tests/relay_model.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use marjoram_core::era::Era;
-use marjoram_core::relay::{Position, Span, Taken};
+use marjoram_core::relay::{Advance, Position, Span};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
@@ -65,10 +65,10 @@
     fn receive(&mut self, back: usize) {
         let Some(index) = self.relays.len().checked_sub(1 + back) else { return };
         let (span, records) = self.relays[index].clone();
-        match self.position.take(span, Duration::ZERO) {
-            Taken::Old => {}
-            Taken::Gap => self.read_directly(),
-            Taken::New { after } => {
+        match self.position.advance(span, Duration::ZERO) {
+            Advance::Old => {}
+            Advance::Gap => self.read_directly(),
+            Advance::New { after } => {
                 let new = (span.from..).zip(records).filter(|(offset, _)| *offset >= after);
                 self.received.extend(new.map(|(_, record)| record));
             }
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -10,8 +10,8 @@
 
 use std::time::Duration;
 
-use marjoram_core::pace::{CALL_BYTES, CALLS};
-use marjoram_core::spread::{Host, plan};
+use marjoram_core::broadcast::{Host, plan};
+use marjoram_core::pace::{CALL_BYTES, MAX_CONCURRENT_CALLS};
 use model::{Outcome, Simulation, simulate};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,7 +70,7 @@
         [(0.0, vec![0.0]), (0.1, vec![0.0]), (0.0, vec![0.0, 2.0, 4.0, 6.0])]
     {
         let outcome = run(&Simulation { failing, announced_at, ..case(hosts, engines, finish) });
-        let bound = CALL_RATE + CALLS as f64 * CALL_BYTES;
+        let bound = CALL_RATE + MAX_CONCURRENT_CALLS as f64 * CALL_BYTES;
         assert!(outcome.call_rate <= bound, "{} bytes in a second", outcome.call_rate);
     }
 }
@@ -128,19 +128,19 @@
 fn nearly_all_hosts_receive_a_change_before_the_order_despite_datagram_loss(hosts: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(0x5eed);
     let others: Vec<u64> = (1..hosts).map(|_| rng.random()).collect();
-    let known: Vec<Host> = others.iter().map(|name| Host { name: *name, heard: true }).collect();
+    let known: Vec<Host> = others.iter().map(|name| Host { name: *name, alive: true }).collect();
     let (rounds, mut receipts) = (200, 0);
     for _ in 0..rounds {
         let mut received = vec![false; others.len()];
         // Sent twice within a tenth of a second, through different relays.
         for _ in 0..2 {
-            for leg in plan(&known, rng.random()) {
+            for datagram in plan(&known, rng.random()) {
                 if rng.random_bool(LOSS) {
                     continue;
                 }
-                received[leg.to] = true;
+                received[datagram.to] = true;
                 for (at, host) in others.iter().enumerate() {
-                    let forwarded = leg.slice.is_some_and(|slice| slice.holds(*host));
+                    let forwarded = datagram.slice.is_some_and(|slice| slice.contains(*host));
                     received[at] |= forwarded && !rng.random_bool(LOSS);
                 }
             }
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -4,9 +4,11 @@
 use std::time::Duration;
 
 use marjoram_core::announce::{Announcements, Change, PERIOD};
-use marjoram_core::pace::{CALL_BYTES, CALLS, Calls, LinkSpeed, QUESTION};
-use marjoram_core::rollout::{self, Named};
-use marjoram_core::spread::fan_out;
+use marjoram_core::broadcast::fan_out;
+use marjoram_core::pace::{
+    CALL_BYTES, CallLimiter, LinkSpeed, MAX_CONCURRENT_CALLS, MIN_POLL_INTERVAL,
+};
+use marjoram_core::rollout::{self, AnnouncedVersions};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -109,7 +111,7 @@
     known: Vec<rollout::Engine>,
     announcements: Announcements,
     active_calls: usize,
-    call_pacer: Calls,
+    call_pacer: CallLimiter,
     calls: Vec<(f64, f64)>,
     messages: Vec<(f64, f64)>,
     rng: ChaCha8Rng,
@@ -122,14 +124,14 @@
 /// Simulates until all engines serve the newest version, for `max_time` seconds at most.
 pub fn simulate(simulation: &Simulation, max_time: f64) -> Outcome {
     let mut model = Model::new(simulation.clone());
-    let (mut named, mut outcome) = (Named::new(), Outcome::default());
+    let (mut named, mut outcome) = (AnnouncedVersions::new(), Outcome::default());
     let (mut poll, mut message) = (0.0, 0.0);
     let newest = simulation.announced_at.len() as u64 + 1;
     while model.now < max_time {
         let now = model.now;
         for (version, at) in simulation.announced_at.iter().enumerate() {
             if now >= *at {
-                named.name(version as u64 + 2, secs(now));
+                named.record_announced(version as u64 + 2, secs(now));
             }
         }
         if let Some(version) = named.newest().filter(|_| now >= poll) {
@@ -194,7 +196,7 @@
             known: (0..simulation.engines).map(known).collect(),
             announcements: Announcements::default(),
             active_calls: 0,
-            call_pacer: Calls::default(),
+            call_pacer: CallLimiter::default(),
             calls: Vec::new(),
             messages: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(0x10ad),
@@ -257,7 +259,7 @@
     /// ended, `time` seconds after its start.
     fn call_has_ended(&mut self, at: usize, time: f64) -> bool {
         match self.engines[at].call {
-            None if self.active_calls < CALLS => {
+            None if self.active_calls < MAX_CONCURRENT_CALLS => {
                 self.active_calls += 1;
                 let begins = self.now + self.call_pacer.wait(LINK, secs(self.now)).as_secs_f64();
                 self.calls.push((begins, CALL_BYTES));
@@ -292,7 +294,8 @@
                 Step::Announced(now)
             }
             Step::Announced(since)
-                if self.announcements.is_told(at as u64) || now >= since + ANNOUNCE_TIMEOUT =>
+                if self.announcements.is_announced(at as u64)
+                    || now >= since + ANNOUNCE_TIMEOUT =>
             {
                 Step::Delayed(now + ORDER_DELAY)
             }
@@ -312,7 +315,7 @@
         let engine = &mut self.engines[at];
         engine.idle = 0;
         if !accepted {
-            return Step::Waiting(self.now + QUESTION.as_secs_f64());
+            return Step::Waiting(self.now + MIN_POLL_INTERVAL.as_secs_f64());
         }
         engine.finishing = self.simulation.finish;
         engine.loading = Some(LOAD);
@@ -330,14 +333,14 @@
         }
         if engine.loading.is_none() {
             engine.idle += 1;
-            return Step::Waiting(self.now + QUESTION.as_secs_f64());
+            return Step::Waiting(self.now + MIN_POLL_INTERVAL.as_secs_f64());
         }
         Step::Waiting(self.now + self.pause())
     }
 
     fn pause(&self) -> f64 {
         let changing = self.known.iter().filter(|e| e.changing.is_some()).count();
-        LINK.question_pause(changing).as_secs_f64()
+        LINK.poll_interval(changing).as_secs_f64()
     }
 
     fn close(&mut self, at: usize) {
--- a/crates/core/tests/spread_views.rs
+++ b/crates/core/tests/spread_views.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashSet;
 
-use marjoram_core::spread::{Host, fan_out, plan};
+use marjoram_core::broadcast::{Host, fan_out, plan};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 
 /// Hosts with `names`, all with a recent heartbeat.
 fn hosts_with_heartbeat(names: &[u64]) -> Vec<Host> {
-    names.iter().map(|name| Host { name: *name, heard: true }).collect()
+    names.iter().map(|name| Host { name: *name, alive: true }).collect()
 }
 
 /// The hosts that one host knows: `hosts` without `unknown` of them.
@@ -34,15 +34,15 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..count).map(|_| rng.random()).collect();
         let sender = known_hosts(&mut rng, &hosts, unknown);
-        let legs = plan(&hosts_with_heartbeat(&sender), rng.random());
-        assert!(legs.len() <= fan_out(sender.len()), "{} datagrams", legs.len());
+        let datagrams = plan(&hosts_with_heartbeat(&sender), rng.random());
+        assert!(datagrams.len() <= fan_out(sender.len()), "{} datagrams", datagrams.len());
         let mut received = HashSet::new();
-        for leg in &legs {
-            let relay = sender[leg.to];
+        for datagram in &datagrams {
+            let relay = sender[datagram.to];
             assert!(received.insert(relay), "a relay received it twice");
-            let Some(slice) = leg.slice else { continue };
+            let Some(slice) = datagram.slice else { continue };
             let known: HashSet<u64> = known_hosts(&mut rng, &hosts, unknown).into_iter().collect();
-            for host in hosts.iter().filter(|host| slice.holds(**host) && **host != relay) {
+            for host in hosts.iter().filter(|host| slice.contains(**host) && **host != relay) {
                 // Receives it exactly from the relay of its slice if that relay knows it,
                 // even if the sender does not.
                 assert_eq!(known.contains(host) && received.insert(*host), known.contains(host));
@@ -60,9 +60,9 @@
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts: Vec<u64> = (0..409).map(|_| rng.random()).collect();
-        for leg in plan(&hosts_with_heartbeat(&hosts), seed) {
-            let slice = leg.slice.expect("many hosts");
-            let forwarded = hosts.iter().filter(|host| slice.holds(**host)).count();
+        for datagram in plan(&hosts_with_heartbeat(&hosts), seed) {
+            let slice = datagram.slice.expect("many hosts");
+            let forwarded = hosts.iter().filter(|host| slice.contains(**host)).count();
             assert!(
                 forwarded <= fan_out(hosts.len()) * 3,
                 "one relay forwards it to {forwarded} hosts"
@@ -81,10 +81,10 @@
     let mut missed = vec![0u32; hosts.len()];
     let messages = 200;
     for _ in 0..messages {
-        for leg in plan(&hosts_with_heartbeat(&hosts), rng.random()) {
-            let slice = leg.slice.expect("many hosts");
+        for datagram in plan(&hosts_with_heartbeat(&hosts), rng.random()) {
+            let slice = datagram.slice.expect("many hosts");
             for (at, host) in hosts.iter().enumerate() {
-                let lost = down.contains(&hosts[leg.to]) && slice.holds(*host);
+                let lost = down.contains(&hosts[datagram.to]) && slice.contains(*host);
                 missed[at] += u32::from(lost && !down.contains(host));
             }
         }
@@ -102,14 +102,16 @@
 fn hosts_that_are_down_isolate_no_live_hosts(down: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let names: Vec<u64> = (0..294).map(|_| rng.random()).collect();
-    let host = |(at, name): (usize, &u64)| Host { name: *name, heard: at >= down };
+    let host = |(at, name): (usize, &u64)| Host { name: *name, alive: at >= down };
     let hosts: Vec<Host> = names.iter().enumerate().map(host).collect();
     for _ in 0..SEEDS {
-        let legs = plan(&hosts, rng.random());
+        let datagrams = plan(&hosts, rng.random());
         let received = |name: u64| {
-            legs.iter().any(|leg| hosts[leg.to].heard && leg.slice.is_some_and(|s| s.holds(name)))
+            datagrams.iter().any(|datagram| {
+                hosts[datagram.to].alive && datagram.slice.is_some_and(|s| s.contains(name))
+            })
         };
-        let missed = hosts.iter().filter(|host| host.heard && !received(host.name)).count();
+        let missed = hosts.iter().filter(|host| host.alive && !received(host.name)).count();
         assert_eq!(missed, 0, "live hosts that did not receive the message");
     }
 }
--- a/crates/core/tests/tenure_model.rs
+++ b/crates/core/tests/tenure_model.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use marjoram_core::era::{Era, Token};
-use marjoram_core::tenure::{Dealt, Tenure};
+use marjoram_core::leadership::{LeaderTerm, LeadershipChange};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
@@ -125,7 +125,7 @@
     store: Store,
     /// A snapshot of the store, and when it was taken.
     snapshot: (Store, Duration),
-    hosts: Vec<Tenure>,
+    hosts: Vec<LeaderTerm>,
     in_transit: [Option<Answer>; HOSTS],
     orders: Vec<Order>,
 }
@@ -133,7 +133,7 @@
 impl World {
     fn receive(&mut self, host: usize, answer: Answer) {
         let Answer { joined_at, assigned, token } = answer;
-        self.hosts[host].dealt(assigned, token, joined_at, self.now, TURNS);
+        self.hosts[host].on_store_answer(assigned, token, joined_at, self.now, TURNS);
     }
 
     fn order(&mut self, host: usize) {
@@ -197,7 +197,7 @@
             now: Duration::from_secs(100),
             store: Store::default(),
             snapshot: (Store::default(), Duration::from_secs(100)),
-            hosts: vec![Tenure::new(LEASE); HOSTS],
+            hosts: vec![LeaderTerm::new(LEASE); HOSTS],
             in_transit: [None; HOSTS],
             orders: Vec::new(),
         }
@@ -250,7 +250,7 @@
 fn leadership_is_acquired_kept_and_taken_over() {
     let ms = Duration::from_millis;
     let mut store = Store::default();
-    let mut hosts = vec![Tenure::new(LEASE); 2];
+    let mut hosts = vec![LeaderTerm::new(LEASE); 2];
     let mut orders: Vec<(usize, Token, Duration)> = Vec::new();
     let mut due = [ms(0), ms(0)];
     for tick in 0..1_500 {
@@ -262,8 +262,8 @@
             }
             if now >= due[h] {
                 let Answer { joined_at, assigned, token } = store.join(h, now);
-                hosts[h].dealt(assigned, token, joined_at, now, TURNS);
-                due[h] = now + hosts[h].pause(now, TURNS, 4);
+                hosts[h].on_store_answer(assigned, token, joined_at, now, TURNS);
+                due[h] = now + hosts[h].renewal_delay(now, TURNS, 4);
             }
             orders.extend(hosts[h].token(now, TURNS).map(|token| (h, token, now)));
         }
@@ -281,16 +281,16 @@
 #[test]
 fn a_leader_that_lost_leadership_briefly_continues_without_a_wait() {
     let ms = Duration::from_millis;
-    let mut tenure = Tenure::new(LEASE);
+    let mut leader_term = LeaderTerm::new(LEASE);
     let token = |generation| Token::new(Era(0), generation);
     for at in [0, 1_000, 2_000, 3_000] {
-        tenure.dealt(true, token(1), ms(at), ms(at), TURNS);
+        leader_term.on_store_answer(true, token(1), ms(at), ms(at), TURNS);
     }
-    let dealt = tenure.dealt(false, token(2), ms(3_500), ms(3_500), TURNS);
-    assert_eq!(dealt, Dealt::Lost { token: token(1) });
-    assert_eq!(tenure.token(ms(3_500), TURNS), None);
-    tenure.dealt(true, token(3), ms(4_000), ms(4_000), TURNS);
-    assert_eq!(tenure.token(ms(4_000), TURNS), Some(token(3)));
+    let dealt = leader_term.on_store_answer(false, token(2), ms(3_500), ms(3_500), TURNS);
+    assert_eq!(dealt, LeadershipChange::Lost { token: token(1) });
+    assert_eq!(leader_term.token(ms(3_500), TURNS), None);
+    leader_term.on_store_answer(true, token(3), ms(4_000), ms(4_000), TURNS);
+    assert_eq!(leader_term.token(ms(4_000), TURNS), Some(token(3)));
 }
 
 /// The store is restored from a snapshot in which host 1 is the leader, while host 0
@@ -298,17 +298,17 @@
 #[test]
 fn a_leader_by_an_old_snapshot_waits_until_the_lease_of_its_predecessor_has_expired() {
     let ms = Duration::from_millis;
-    let mut hosts = vec![Tenure::new(LEASE); 2];
+    let mut hosts = vec![LeaderTerm::new(LEASE); 2];
     let old = |generation| Token::new(Era(0), generation);
-    hosts[1].dealt(true, old(8), ms(0), ms(0), TURNS);
-    hosts[1].dealt(false, old(9), ms(500), ms(500), TURNS);
+    hosts[1].on_store_answer(true, old(8), ms(0), ms(0), TURNS);
+    hosts[1].on_store_answer(false, old(9), ms(500), ms(500), TURNS);
     for at in [1_000, 2_500, 4_000, 5_000] {
-        hosts[0].dealt(true, old(9), ms(at), ms(at), TURNS);
+        hosts[0].on_store_answer(true, old(9), ms(at), ms(at), TURNS);
     }
     let restored = Token::new(Era(1), 8);
     let mut first = None;
     for at in (5_010..12_000).step_by(10) {
-        hosts[1].dealt(true, restored, ms(at), ms(at), TURNS);
+        hosts[1].on_store_answer(true, restored, ms(at), ms(at), TURNS);
         if hosts[1].token(ms(at), TURNS).is_some() {
             first = first.or(Some(ms(at)));
         }
@@ -319,8 +319,11 @@
     assert!(first <= ms(5_010) + LEASE + TURNS, "{first:?}");
     assert!(restored > old(9));
     // An answer of the previous era arrives late.
-    let late = hosts[1].dealt(true, old(9), ms(4_900), ms(12_000), TURNS);
-    assert_eq!((late, hosts[1].token(ms(12_000), TURNS)), (Dealt::Unchanged, Some(restored)));
+    let late = hosts[1].on_store_answer(true, old(9), ms(4_900), ms(12_000), TURNS);
+    assert_eq!(
+        (late, hosts[1].token(ms(12_000), TURNS)),
+        (LeadershipChange::Unchanged, Some(restored))
+    );
 }
 
 /// The store is restored once more while a leader still waits: another host that was
@@ -328,20 +331,23 @@
 #[test]
 fn a_waiting_leader_restarts_its_wait_in_a_later_era() {
     let ms = Duration::from_millis;
-    let mut tenure = Tenure::new(LEASE);
+    let mut leader_term = LeaderTerm::new(LEASE);
     let token = |era| Token::new(Era(era), 4);
     for at in [0, 1_000, 2_000] {
-        tenure.dealt(true, token(0), ms(at), ms(at), TURNS);
+        leader_term.on_store_answer(true, token(0), ms(at), ms(at), TURNS);
     }
     let since = ms(2_500) + LEASE;
-    let dealt = tenure.dealt(true, token(1), ms(2_500), ms(2_500), TURNS);
-    assert_eq!(dealt, Dealt::Taken { token: token(1), since });
-    tenure.dealt(true, token(1), ms(4_000), ms(4_000), TURNS);
-    assert_eq!(tenure.token(ms(4_000), TURNS), None);
+    let dealt = leader_term.on_store_answer(true, token(1), ms(2_500), ms(2_500), TURNS);
+    assert_eq!(dealt, LeadershipChange::Gained { token: token(1), since });
+    leader_term.on_store_answer(true, token(1), ms(4_000), ms(4_000), TURNS);
+    assert_eq!(leader_term.token(ms(4_000), TURNS), None);
     // A leader that was already able to order continues.
     for at in [5_000, 7_000, 8_500] {
-        tenure.dealt(true, token(1), ms(at), ms(at), TURNS);
+        leader_term.on_store_answer(true, token(1), ms(at), ms(at), TURNS);
     }
-    let dealt = tenure.dealt(true, token(2), ms(9_000), ms(9_000), TURNS);
-    assert_eq!((dealt, tenure.token(ms(9_000), TURNS)), (Dealt::Unchanged, Some(token(2))));
+    let dealt = leader_term.on_store_answer(true, token(2), ms(9_000), ms(9_000), TURNS);
+    assert_eq!(
+        (dealt, leader_term.token(ms(9_000), TURNS)),
+        (LeadershipChange::Unchanged, Some(token(2)))
+    );
 }
--- a/crates/core/tests/weights_rollout.rs
+++ b/crates/core/tests/weights_rollout.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use marjoram_core::rollout::{Engine, Named, next};
+use marjoram_core::rollout::{AnnouncedVersions, Engine, next};
 use test_case::test_case;
 
 /// Seconds to load, while no more than a fifth of the engines, or two, load at once;
@@ -35,14 +35,14 @@
     };
     let mut all: Vec<Engine> = (0..engines).map(engine).collect();
     let mut remaining: Vec<Option<f64>> = vec![None; engines];
-    let (mut named, mut loads, mut longest) = (Named::new(), 0, 0.0f64);
+    let (mut named, mut loads, mut longest) = (AnnouncedVersions::new(), 0, 0.0f64);
     let step = 0.02;
     for tick in 0..(seconds / step) as u32 {
         let now = f64::from(tick) * step;
         let clock = Duration::from_secs_f64(now);
         for (version, at) in announced_at.iter().enumerate() {
             if now >= *at {
-                named.name(version as u64 + 2, clock);
+                named.record_announced(version as u64 + 2, clock);
             }
         }
         let Some(newest) = named.newest() else { continue };
@@ -87,10 +87,10 @@
 fn a_restarted_host_learns_replaced_versions_from_other_hosts() {
     // To a starting host, the store lists only the newest version.
     let (start, now) = (Duration::from_secs(10), Duration::from_secs(11));
-    let mut named = Named::new();
-    named.found(4, start);
-    named.told(4, Duration::from_millis(1_200), now);
-    named.told(3, Duration::from_millis(5_600), now);
+    let mut named = AnnouncedVersions::new();
+    named.record_existing(4, start);
+    named.record_reported(4, Duration::from_millis(1_200), now);
+    named.record_reported(3, Duration::from_millis(5_600), now);
     assert_eq!(named.replaced(2, now), Some(Duration::from_millis(5_600)));
     assert_eq!(named.replaced(3, now), Some(Duration::from_millis(1_200)));
     assert_eq!(named.newest(), Some(4));
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -17,7 +17,7 @@
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
 use marjoram_core::ids::{ModelVersion, WorkspaceId};
-use marjoram_core::measure::{Measures, Seen};
+use marjoram_core::measure::{Measures, RecentBlocks};
 use marjoram_core::prefix::Prefix;
 use marjoram_core::wire::{Chunk, CompletionRequest, ErrorBody, IDEMPOTENCY_KEY, RouteAnswer};
 use marjoram_core::workload::{Call, Site, Workload};
@@ -103,7 +103,7 @@
     nonce: u64,
     measures: Measures,
     refused_keys: Vec<String>,
-    recent_blocks: Seen,
+    recent_blocks: RecentBlocks,
     alerts: u64,
 }
 
@@ -118,7 +118,7 @@
         nonce: rand::random(),
         refused_keys: Vec::new(),
         measures: Measures::new(),
-        recent_blocks: Seen::new(Duration::from_millis(opts.horizon_ms)),
+        recent_blocks: RecentBlocks::new(Duration::from_millis(opts.horizon_ms)),
         alerts: 0,
     }));
     let before = service_stats(&client, opts.service.as_deref()).await;
