--- a/crates/core/benches/memory.rs
+++ b/crates/core/benches/memory.rs
@@ -1,4 +1,4 @@
-//! Heap bytes of the cache picture per block entry, of the configuration
+//! Heap bytes of the cache index per block entry, of the configuration
 //! per workspace, of a claim and of the quarantine, measured with dhat's heap counters.
 //!
 //! Run with `cargo bench -p marjoram-core --bench memory`.
--- a/crates/core/benches/routing.rs
+++ b/crates/core/benches/routing.rs
@@ -1,7 +1,7 @@
-//! Cost of the routing decision and of keeping the cache picture.
+//! Cost of the routing decision and of keeping the cache index.
 //!
 //! - `pick/<policy>`: one decision for a 20,000-token prompt against 12
-//!   engines, prefix hashing and picture lookup included.
+//!   engines, prefix hashing and index lookup included.
 //! - `prefix/20k`: cutting and hashing a 20,000-token prompt alone.
 //! - `ingest/stored_16`: applying one cache event of 16 blocks.
 //! - `config/apply`: applying one configuration record.
@@ -21,7 +21,7 @@
     (0..tokens).map(|i| format!("clause{i}")).collect::<Vec<_>>().join(" ")
 }
 
-fn filled_picture(prefix: &Prefix) -> CacheIndex {
+fn filled_cache_index(prefix: &Prefix) -> CacheIndex {
     let cache_index = CacheIndex::new();
     for slot in 0..ENGINES {
         let held = prefix.blocks.len() * usize::from(slot) / usize::from(ENGINES);
@@ -33,7 +33,7 @@
 fn pick(c: &mut Criterion) {
     let text = prompt(20_000);
     let ws: WorkspaceId = "kili-checks".parse().unwrap();
-    let cache_index = filled_picture(&Prefix::new(&text, &ws, ModelVersion(0)));
+    let cache_index = filled_cache_index(&Prefix::new(&text, &ws, ModelVersion(0)));
     let router = Router::new();
     let params = Default::default();
     let slots: Vec<Slot> = (0..ENGINES).map(Slot).collect();
--- a/crates/core/src/broadcast.rs
+++ b/crates/core/src/broadcast.rs
@@ -89,7 +89,8 @@
 /// let datagrams = plan(&hosts, 7);
 /// assert!(datagrams.len() <= fan_out(hosts.len()));
 /// // The relays and the hosts they forward to are all hosts.
-/// let told = |host: &Host| datagrams.iter().any(|datagram| datagram.slice.unwrap().contains(host.name));
+/// let told =
+///     |host: &Host| datagrams.iter().any(|d| d.slice.unwrap().contains(host.name));
 /// assert!(hosts.iter().all(told));
 /// assert!(datagrams.iter().all(|datagram| hosts[datagram.to].alive));
 /// ```
--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -6,13 +6,13 @@
 //! were too small to do the work took leadership in turns, and each change costs
 //! the minimum handover interval.
 //!
-//! Limits: the [`PREFERRED_CANDIDATES`] hosts with the most capacity are candidates, called
-//! the preferred ones here. A member that joins or leaves may move leadership, so
-//! none does while engines are due to change and there are other candidates. A
-//! host cools down, with no capacity, if it lost its membership while others saw
-//! no store errors, or if it cannot reach engines that others reach. Hosts that
-//! are not preferred become candidates only once there has been no other candidate
-//! for a while, and leave the group again.
+//! Limits: the [`PREFERRED_CANDIDATES`] hosts with the most capacity are
+//! candidates, called the preferred ones here. A member that joins or leaves may
+//! move leadership, so none does while engines are due to change and there are
+//! other candidates. A host cools down, with no capacity, if it lost its
+//! membership while others saw no store errors, or if it cannot reach engines
+//! that others reach. Hosts that are not preferred become candidates only once
+//! there has been no other candidate for a while, and leave the group again.
 
 use std::time::Duration;
 
@@ -124,8 +124,11 @@
     /// use marjoram_core::candidacy::{OtherHost, ControlCapacity, View};
     /// use marjoram_core::leadership::CandidateStatus;
     /// let secs = Duration::from_secs;
-    /// let other =
-    ///     |room| OtherHost { candidate_status: CandidateStatus::Candidate, rank: (ControlCapacity(room), 1), errors: None };
+    /// let other = |room| OtherHost {
+    ///     candidate_status: CandidateStatus::Candidate,
+    ///     rank: (ControlCapacity(room), 1),
+    ///     errors: None,
+    /// };
     /// let mut view = View {
     ///     up: secs(3),
     ///     without_candidate: secs(0),
@@ -135,11 +138,11 @@
     ///     errors: None,
     ///     others: vec![other(50); 20],
     /// };
-    /// assert!(!view.joins(), "others have more room");
+    /// assert!(!view.joins(), "others have more capacity");
     /// view.rank.0 = ControlCapacity(80);
     /// assert!(view.joins());
     /// view.pending = true;
-    /// assert!(!view.joins(), "its join might move the duty");
+    /// assert!(!view.joins(), "its join might move the leadership");
     /// view.others.iter_mut().for_each(|o| o.candidate_status = CandidateStatus::Unconfirmed);
     /// assert!(view.joins(), "nobody else would order");
     /// ```
@@ -174,7 +177,11 @@
     /// use marjoram_core::candidacy::{OtherHost, ControlCapacity, View};
     /// use marjoram_core::leadership::CandidateStatus;
     /// let secs = Duration::from_secs;
-    /// let other = |errors| OtherHost { candidate_status: CandidateStatus::Candidate, rank: (ControlCapacity(50), 1), errors };
+    /// let other = |errors| OtherHost {
+    ///     candidate_status: CandidateStatus::Candidate,
+    ///     rank: (ControlCapacity(50), 1),
+    ///     errors,
+    /// };
     /// let mut view = View {
     ///     up: secs(60),
     ///     without_candidate: secs(0),
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/pace.rs
@@ -99,15 +99,16 @@
     }
 }
 
-/// Rate limiter for calls to engines: allows a burst of [`MAX_CONCURRENT_CALLS`] calls, then the
-/// rate that the link allows.
+/// Rate limiter for calls to engines: allows a burst of
+/// [`MAX_CONCURRENT_CALLS`] calls, then the rate that the link allows.
 ///
 /// ```
 /// use std::time::Duration;
 /// use marjoram_core::pace::{MAX_CONCURRENT_CALLS, CallLimiter, LinkSpeed};
 /// let (link, now) = (LinkSpeed(10.0), Duration::from_secs(1));
 /// let mut calls = CallLimiter::default();
-/// let waits: Vec<Duration> = (0..MAX_CONCURRENT_CALLS + 2).map(|_| calls.wait(link, now)).collect();
+/// let waits: Vec<Duration> =
+///     (0..MAX_CONCURRENT_CALLS + 2).map(|_| calls.wait(link, now)).collect();
 /// // A burst of as many as may run concurrently, then the rate that the link
 /// // allows.
 /// assert_eq!(waits[MAX_CONCURRENT_CALLS - 1], Duration::ZERO);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -16,8 +16,8 @@
 //!
 //! A host that no coordinator answers keeps to its share of the quota in each
 //! window, as in the last answer that it received, and the coordinators reserve
-//! that share in the bucket of the others for [`RESERVATION_TIME`]. All shares together
-//! are never more than the quota: a host's share is raised only by what other
+//! that share in the bucket of the others for [`RESERVATION_TIME`]. All shares
+//! together are never more than the quota: a host's share is raised only by what other
 //! hosts have reported to have given up. So both sides of a network partition
 //! together stay within the quota, at whatever moment it begins. Hosts that have
 //! just started have received no share and use an equal one, counted only over
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -29,7 +29,7 @@
 /// Pause after a report that was made early for a workspace's first request.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
 
-/// Usages or verdicts in one datagram: about 30 bytes each.
+/// Usages or allocations in one datagram: about 30 bytes each.
 const MAX_BATCH: usize = 200;
 
 /// Seed of the hash of the attempt's id that decides on a request when only a
@@ -185,7 +185,7 @@
 }
 
 /// Applies the usages that the host at `from` reports, and answers with the
-/// verdicts on what it may admit.
+/// allocations: what it may admit.
 pub fn handle_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
     let allocations = account_for(site, sender, usages);
     if !allocations.is_empty() {
@@ -195,8 +195,8 @@
 }
 
 /// Applies usages reported by `sender` to the accounts kept here; returns the
-/// verdicts, or none while this host may not act as a coordinator. Accounts that
-/// these usages have opened are settled at once.
+/// allocations, or none while this host may not act as a coordinator. Accounts that
+/// these usages have opened are advanced at once.
 fn account_for(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Allocation> {
     let now = site.now();
     let mut ledger = site.quotas.ledger.borrow_mut();
@@ -217,7 +217,7 @@
     usages.iter().filter_map(|usage| ledger.allocation(usage.workspace, sender.host)).collect()
 }
 
-/// Applies the verdicts of the coordinator `account`, a hash of the host's name.
+/// Applies the allocations of the coordinator `account`, a hash of the host's name.
 pub fn apply_allocations(site: &Site, account: u64, allocations: &[Allocation]) {
     let now = site.now();
     let mut gate = site.quotas.gate.borrow_mut();
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -362,9 +362,9 @@
 
     /// The state of each of `engines` as the core's placement function takes it.
     ///
-    /// With [`Mechanism::PreferredEngines`], engines are ranked by the prompt's prefix path,
-    /// so that prompts with equal beginnings prefer the same engine; without it,
-    /// by the request. With many hosts, only a few engines drawn by hashing are
+    /// With [`Mechanism::PreferredEngines`], engines are ranked by the prompt's prefix
+    /// path, so that prompts with equal beginnings prefer the same engine; without it,
+    /// by the request. With many hosts, only a few engines sampled by hashing are
     /// compared for a request: loads known late would otherwise make all hosts
     /// send to the same engine.
     fn views(
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -20,8 +20,8 @@
 /// Interval between reads of the `crashes` stream, in milliseconds.
 pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after a crash within which all routers have appended their reports of requests
-/// in flight at the crash, and this router has read them (one read interval plus the
-/// settling time).
+/// in flight at the crash, and this router has read them (one read interval plus
+/// [`CRASH_REPORT_WINDOW`]).
 pub const REPORT_WINDOW: Duration = READ_INTERVAL.saturating_add(CRASH_REPORT_WINDOW);
 /// Seconds after which an entry in force is appended again, because the log service
 /// keeps its records for a limited time.
--- a/crates/router/src/serve/service.rs
+++ b/crates/router/src/serve/service.rs
@@ -16,9 +16,9 @@
 
 /// Forwards a call to a plain service.
 ///
-/// With an idempotency key the call runs at most once (see `at_most_once`). Without one it is
-/// sent once and never retried: the answer to a refused connection is "not run", and
-/// to any later failure "outcome unknown".
+/// With an idempotency key the call runs at most once (see `at_most_once`). Without
+/// one it is sent once and never retried: the answer to a refused connection is "not
+/// run", and to any later failure "outcome unknown".
 pub async fn call_service(
     node: Shared,
     name: types::Path<String>,
