--- a/crates/core/src/place/partition.rs
+++ b/crates/core/src/place/partition.rs
@@ -35,7 +35,7 @@
 
 /// Which engines a request with the key `request` is compared over when there
 /// are `hosts` hosts: all of them at up to [`SINGLE_ROUND_HOSTS`], else a few of its
-/// partition (`partition`) and a few others.
+/// `partition` and a few others.
 ///
 /// ```
 /// use marjoram_core::place::sample;
