--- a/crates/router/src/at_most_once.rs
+++ b/crates/router/src/at_most_once.rs
@@ -27,13 +27,13 @@
 use crate::log::{self, Log};
 use crate::node::Node;
 
-/// Time-out of the service's answer, in seconds.
+/// Time-out of the service's answer.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Age, in seconds, from which the router no longer sends or abandons a claimed call:
-/// a claim must be acted on, or abandoned, well before the log service drops it (see
+/// Age of a claim from which the router neither sends nor abandons the call: a claim must
+/// be acted on, or abandoned, well before the log service drops it (see
 /// `marjoram_core::claims`).
 const CLAIM_MAX_AGE: Duration = Duration::from_secs(10);
-/// Interval, in seconds, between background reads of the claims stream.
+/// Interval between background reads of the claims stream.
 const FOLLOW_INTERVAL: Duration = Duration::from_secs(2);
 
 thread_local! {
@@ -105,10 +105,10 @@
 pub async fn call(node: &Arc<Node>, key: &str, call: Call) -> Reply {
     let owner = format!("{}/{}", node.settings.advertise, RequestId(node.request_id()));
     let log = Log::new(node.settings.log_service);
-    let begun = clock::now();
+    let claim_started = clock::now();
     let claim = ClaimRecord::Claim { key: key.into(), owner: owner.clone() };
     let error = match claim_key(node, &log, &claim, key, &owner).await {
-        Ok(Decision::Send) if clock::now() < begun + CLAIM_MAX_AGE => {
+        Ok(Decision::Send) if clock::now() < claim_started + CLAIM_MAX_AGE => {
             match call.send(Some(key)).await {
                 Ok(answer) => {
                     record(&log, key, &owner, &answer).await;
@@ -129,13 +129,14 @@
     // Nothing was sent. A claim that is too old is left to expire: an abandon record
     // that arrives when others can no longer read the claim would free the key for one
     // router and not for another.
-    if clock::now() < begun + CLAIM_MAX_AGE {
+    if clock::now() < claim_started + CLAIM_MAX_AGE {
         abandon(&log, key, &owner).await;
     }
     Reply::Refused(error)
 }
 
-/// Appends a claim of `key` for `owner` and reads the stream to decide whether it holds.
+/// Appends a claim of `key` for `owner` and reads the stream to decide whether the claim holds
+/// the key.
 async fn claim_key(
     node: &Node,
     log: &Log,
@@ -146,8 +147,8 @@
     let peer = || node.settings.log_service.to_string();
     let appended = log.append(log::CLAIMS, claim).await;
     let claimed = appended.map_err(|e| Error::Claim("append claim", peer(), e.to_string()))?;
-    let caught = catch_up(node, log).await;
-    caught.map_err(|e| Error::Claim("read claims", peer(), e.to_string()))?;
+    let caught_up = catch_up(node, log).await;
+    caught_up.map_err(|e| Error::Claim("read claims", peer(), e.to_string()))?;
     Ok(node.claims.lock().unwrap().decide(key, owner, claimed))
 }
 
--- a/crates/router/src/error.rs
+++ b/crates/router/src/error.rs
@@ -72,7 +72,7 @@
         Peer(step: &'static str, peer: String, message: String) {
             display("{step} router {peer}: {message}")
         }
-        /// An engine did not take an order.
+        /// An engine did not accept an order.
         Order(peer: String, message: String) {
             display("order weights at engine {peer}: {message}")
         }
--- a/crates/router/src/follow/config.rs
+++ b/crates/router/src/follow/config.rs
@@ -14,7 +14,7 @@
 use crate::log::{self, Log};
 use crate::node::{Active, Node};
 
-/// Interval between reads of the stream, in seconds.
+/// Interval between reads of the stream.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows the `config` stream forever.
--- a/crates/router/src/follow/engines.rs
+++ b/crates/router/src/follow/engines.rs
@@ -14,15 +14,15 @@
 use super::get_json;
 use crate::node::{Engine, Node};
 
-/// Interval, in milliseconds, between checks of the pool for engines not yet followed.
+/// Interval between checks of the pool for engines not yet followed.
 const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Seconds that an engine is asked to wait for events before it answers a read.
+/// How long an engine is asked to wait for events before it answers a read.
 const EVENTS_WAIT: Duration = Duration::from_secs(1);
-/// Pause between reads of an engine's events, in milliseconds.
+/// Pause between reads of an engine's events.
 const EVENTS_READ_PAUSE: Duration = Duration::from_millis(50);
-/// Interval between reads of an engine's load report, in milliseconds.
+/// Interval between reads of an engine's load report.
 const LOAD_READ_INTERVAL: Duration = Duration::from_millis(500);
-/// Time-out of an engine's answer, in seconds, on top of the wait it was asked for.
+/// Time-out of an engine's answer, on top of the wait it was asked for.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows every engine's cache events and load forever, with a separate task for
--- a/crates/router/src/follow/hosts.rs
+++ b/crates/router/src/follow/hosts.rs
@@ -13,9 +13,9 @@
 use super::read_json;
 use crate::node::{Engine, Node, Pool};
 
-/// Interval between reads of the list, in seconds.
+/// Interval between reads of the list.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Time-out of an answer, in seconds.
+/// Time-out of an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows the host list forever.
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -32,14 +32,13 @@
 use crate::poison;
 use crate::quarantine::BrokenCompletion;
 
-/// Time-out, in seconds, of an engine's first chunk. It is long because the engine's
-/// queue may be long.
+/// Time-out of an engine's first chunk. It is long because the engine's queue may be
+/// long.
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval, in milliseconds, at which a waiting request checks that its engine is
-/// still reachable.
+/// Interval at which a waiting request checks that its engine is still reachable.
 const REACHABILITY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval, in milliseconds, at which a withheld request checks whether the crashes
-/// it was in flight at have been evaluated.
+/// Interval at which a withheld request checks whether the crashes it was in flight at
+/// have been evaluated.
 const VERDICT_POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 thread_local! {
@@ -84,13 +83,13 @@
     version: ModelVersion,
     inflight: Inflight,
     /// The engine's incarnation and weights when the request was sent.
-    life: Option<CacheGeneration>,
+    generation: Option<CacheGeneration>,
     /// Prompt tokens the engine has to read before the first chunk, and when the
     /// request was sent.
     tokens_ahead: Tokens,
     sent: Instant,
     /// When the engine accepted the request.
-    begun: Instant,
+    accepted_at: Instant,
 }
 
 /// Receives the checked chunks of an answer for the caller.
@@ -109,7 +108,7 @@
         let Choice { engine, unread, tokens_ahead } = job.choose(node)?;
         let inflight = Inflight::new(node.clone(), engine.slot, unread);
         let sent = Instant::now();
-        let life = node.cache_index.life(engine.slot);
+        let generation = node.cache_index.life(engine.slot);
         let error = match send(node, job, &engine).await {
             Ok(response) => {
                 let known = node.cache_index.life(engine.slot);
@@ -118,23 +117,23 @@
                     let blocks = &job.prefix(version).blocks;
                     node.cache_index.predicted(engine.slot, known, blocks);
                 }
-                let begun = Instant::now();
+                let accepted_at = Instant::now();
                 return Ok(AcceptedRequest {
                     engine,
-                    life,
+                    generation,
                     response,
                     version,
                     inflight,
                     tokens_ahead,
                     sent,
-                    begun,
+                    accepted_at,
                 });
             }
             Err(error @ Error::Deadline(_)) => return Err(error),
             Err(error) => error,
         };
         if matches!(error, Error::Engine(..)) {
-            note_broken(node, job, &engine, life, None);
+            note_broken(node, job, &engine, generation, None);
         }
         tracing::info!(target: "forward", "forward: {error}; retrying {} on another engine.", job.id);
         node.counters.retried.fetch_add(1, Ordering::Relaxed);
@@ -143,7 +142,7 @@
 }
 
 /// Waits while `job` is withheld because crashes it was in flight at are still to be
-/// evaluated, but not beyond the time its first token may take.
+/// evaluated, but no longer than its first token may take.
 async fn wait_for_verdict(node: &Node, job: &Job) {
     let mut withheld = false;
     while node.poison.is_withheld(job.fingerprint) && !job.is_late() {
@@ -193,7 +192,8 @@
     let mut accepted = accepted;
     loop {
         let addr = accepted.engine.addr.clone();
-        let (engine, life, begun) = (accepted.engine.clone(), accepted.life, accepted.begun);
+        let (engine, generation, accepted_at) =
+            (accepted.engine.clone(), accepted.generation, accepted.accepted_at);
         let error = match relay(node, job, accepted, out).await {
             Ok(usage) => {
                 node.poison.record_completed(job.fingerprint);
@@ -202,7 +202,7 @@
             Err(error @ (Error::Engine("reply", ..) | Error::Deadline(_))) => return Err(error),
             Err(error) => error,
         };
-        note_broken(node, job, &engine, life, Some(begun.elapsed()));
+        note_broken(node, job, &engine, generation, Some(accepted_at.elapsed()));
         tracing::info!(target: "forward", "forward: {error}; resuming {} from chunk {}.", job.id, job.engine_request.resume_from);
         job.record_failure(&addr, error);
         accepted = open(node, job).await?;
@@ -277,20 +277,21 @@
     node: &Arc<Node>,
     job: &mut Job,
     engine: &Engine,
-    life: Option<CacheGeneration>,
+    generation: Option<CacheGeneration>,
     ran: Option<Duration>,
 ) {
     job.crashed = true;
     let request = BrokenCompletion { request: job.fingerprint, attempt: job.id.0, ran };
-    poison::handle_broken(node, engine, life, request);
+    poison::handle_broken(node, engine, generation, request);
 }
 
 fn caller_gone() -> Error {
     Error::Engine("reply", "caller".into(), "caller went away".into())
 }
 
-/// Waits for the stream's next item. Fails with the time waited once `limit` has
-/// passed, the engine is unreachable or the caller is `is_closed`.
+/// Waits for the stream's next item. Fails, with the time waited, once that time reaches
+/// `limit`, the engine is unreachable or `is_closed` reports that the caller has
+/// disconnected.
 async fn next<S: Stream + Unpin>(
     node: &Node,
     slot: Slot,
@@ -300,10 +301,10 @@
 ) -> Result<Option<S::Item>, Duration> {
     let mut silent = Duration::ZERO;
     loop {
-        let watch = REACHABILITY_POLL_INTERVAL.min(limit.saturating_sub(silent));
-        match ntex::time::timeout(watch, events.next()).await {
+        let interval = REACHABILITY_POLL_INTERVAL.min(limit.saturating_sub(silent));
+        match ntex::time::timeout(interval, events.next()).await {
             Ok(item) => return Ok(item),
-            Err(()) => silent += watch,
+            Err(()) => silent += interval,
         }
         if silent >= limit || node.is_down(slot) || is_closed() {
             return Err(silent);
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -14,9 +14,9 @@
 use crate::peer;
 use crate::peer::wire::{Answer, Call, WireMember};
 
-/// Interval between pings, in seconds.
+/// Interval between pings.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
-/// Time-out of the answer to a ping, in milliseconds.
+/// Time-out of the answer to a ping.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pings other routers forever.
@@ -48,7 +48,8 @@
     }
 }
 
-/// Exchanges membership updates with `addr`; whether it answered or is known to be down.
+/// Exchanges membership updates with `addr`; returns whether it answered or is known to
+/// be down.
 async fn ping(node: &Node, addr: &str) -> bool {
     let updates = node.members.lock().unwrap().outgoing_updates();
     let call = Call::Ping(updates.into_iter().map(WireMember::from).collect());
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -112,7 +112,7 @@
     pub fn choose(&mut self, node: &Node) -> Result<Choice, Error> {
         if let Some(quarantined) = node.poison.quarantine_error(self.fingerprint) {
             // If an engine may have run it, the earlier error is returned: "not run"
-            // would be wrong.
+            // would be false.
             return Err(self.last_error.take().unwrap_or(quarantined));
         }
         let pool = node.pool.load();
@@ -129,8 +129,8 @@
             .collect();
         if self.crashed || node.poison.is_suspect(self.fingerprint) {
             let keys: Vec<u64> = engines.iter().map(|(engine, _)| engine.key).collect();
-            let apart = poison::retry_upstreams(self.fingerprint, &keys);
-            engines = apart.into_iter().map(|i| engines[i]).collect();
+            let retry_indices = poison::retry_upstreams(self.fingerprint, &keys);
+            engines = retry_indices.into_iter().map(|i| engines[i]).collect();
         }
         let candidates: Vec<Candidate> = engines
             .iter()
@@ -180,7 +180,7 @@
         Ok(())
     }
 
-    /// Whether the time limit for the first token has passed without one.
+    /// Whether the time limit for the first token has passed without a token.
     pub fn is_late(&self) -> bool {
         self.engine_request.resume_from == 0 && self.started.elapsed() >= self.limit
     }
@@ -201,8 +201,8 @@
             let group: Vec<usize> =
                 (0..engines.len()).filter(|&i| engines[i].1 == version).collect();
             let slots: Vec<Slot> = group.iter().map(|&i| engines[i].0.slot).collect();
-            let found = node.cache_index.matched(&self.prefix(version).blocks, &slots);
-            group.into_iter().zip(found).for_each(|(i, blocks)| matched[i] = blocks);
+            let counts = node.cache_index.matched(&self.prefix(version).blocks, &slots);
+            group.into_iter().zip(counts).for_each(|(i, blocks)| matched[i] = blocks);
         }
         matched
     }
@@ -234,7 +234,7 @@
     }
 }
 
-/// The weights version of an engine in `life`; version 1 while that is not known.
-pub fn version(life: Option<CacheGeneration>) -> ModelVersion {
-    life.map(|life| life.version).unwrap_or(ModelVersion(1))
+/// The weights version of an engine in `generation`; version 1 while that is not known.
+pub fn version(generation: Option<CacheGeneration>) -> ModelVersion {
+    generation.map(|generation| generation.version).unwrap_or(ModelVersion(1))
 }
--- a/crates/router/src/lease_tasks.rs
+++ b/crates/router/src/lease_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that one router at a time performs, the holder of the fleet's lease.
+//! Tasks that only the holder of the fleet's lease performs, one router at a time.
 //!
 //! - Snapshots: the configuration in force is written to the log service
 //!   when it has changed, and again before the last one could expire, so
@@ -11,7 +11,8 @@
 //! between the check and the action, engines that check the fencing token reject
 //! the late order. At other engines a late order can only name weights that were
 //! in force before; the current lease holder then detects that the engine went
-//! back and orders it again. Snapshots need no fencing: readers take the newest.
+//! back to older weights and orders it again. Snapshots need no fencing: readers take
+//! the newest.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -32,13 +33,14 @@
 /// most [`SMALL_FLEET`] routers.
 const CHECKS_PER_TTL: u32 = 3;
 /// Number of routers above which routers other than the lease holder check less
-/// often, in proportion, so that more routers do not read the log service more often.
+/// often, in proportion, so that the log service is not read more often when there are
+/// more routers.
 const SMALL_FLEET: u32 = 9;
-/// Longest interval between checks of the lease, in seconds.
+/// Longest interval between checks of the lease.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval, in milliseconds, between rounds of the lease holder's tasks.
+/// Interval between rounds of the lease holder's tasks.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two snapshots, in seconds.
+/// Least time between two snapshots.
 const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_secs(5);
 /// Divisor of the log's retention time that gives the age at which a snapshot is
 /// written again.
@@ -46,7 +48,7 @@
 /// Divisor of the number of engines that gives how many are ordered to load weights
 /// at a time.
 const LOADING_DIVISOR: usize = 4;
-/// Time-out, in seconds, of an order to an engine.
+/// Time-out of an order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Tries to acquire or renew the lease, forever.
@@ -176,8 +178,8 @@
     };
     let pool = node.pool.load_full();
     let behind = |e: &&Engine| {
-        let life = node.cache_index.life(e.slot);
-        !e.leaving && life.is_some_and(|life| life.version < version)
+        let generation = node.cache_index.life(e.slot);
+        !e.leaving && generation.is_some_and(|generation| generation.version < version)
     };
     let at_a_time = pool.engines.len().div_ceil(LOADING_DIVISOR);
     let orders = pool.engines.iter().filter(behind).take(at_a_time);
--- a/crates/router/src/link.rs
+++ b/crates/router/src/link.rs
@@ -15,7 +15,7 @@
 /// Flow-control window of a stream, in bytes: a cache index is transferred in a few
 /// round trips.
 const FLOW_WINDOW: u32 = 4 << 20;
-/// Seconds without a call after which the serving side closes a connection.
+/// Time without a call after which the serving side closes a connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Connects to the process at `addr`.
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -26,7 +26,7 @@
 /// The stream of configuration snapshots.
 pub const SNAPSHOTS: &str = "snapshots";
 
-/// Time-out of a call, in seconds.
+/// Time-out of a call.
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest answer accepted, in bytes.
 const ANSWER_LIMIT: usize = 64 << 20;
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -88,7 +88,8 @@
     pub answered: AtomicU64,
     /// Completions that failed.
     pub failed: AtomicU64,
-    /// Attempts that failed before the engine accepted and moved to another engine.
+    /// Attempts that failed before the engine accepted the request, which then moved to
+    /// another engine.
     pub retried: AtomicU64,
     /// Requests refused because the first token was not expected in time.
     pub late: AtomicU64,
@@ -148,7 +149,7 @@
     pub members: Mutex<Members>,
     /// Routers callers may be sent to: in the host list and not known to be unusable.
     pub entries: ArcSwap<Vec<HostEntry>>,
-    /// This router's candidacy for, or hold on, the fleet's lease.
+    /// State of this router as a candidate for, or the holder of, the fleet's lease.
     pub contender: Mutex<Contender>,
     /// Connections to other routers.
     pub links: Links,
@@ -198,7 +199,7 @@
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Whether this router may serve callers and hold the lease: warmed up and not draining.
+    /// Whether this router may serve callers and hold the lease: ready and not draining.
     pub fn is_available(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
     }
--- a/crates/router/src/poison.rs
+++ b/crates/router/src/poison.rs
@@ -1,4 +1,5 @@
-//! Detection of completions that crash engines, on the own interface.
+//! Detection of completions that crash engines, on the router's own interface (see
+//! `serve`).
 //!
 //! When an engine crashes, each router appends the completions it had in flight there to
 //! the log service's `crashes` stream. All routers read the stream and reach the same
@@ -28,57 +29,63 @@
 use crate::node::{Engine, Node};
 use crate::quarantine::{BrokenCompletion, CrashRecord, READ_INTERVAL, REPORT_WINDOW};
 
-/// Milliseconds within which all completions that an engine broke are noticed.
+/// Delay before an engine is checked for a crash, within which all completions that it
+/// broke are noticed.
 const GATHER_DELAY: Duration = Duration::from_millis(20);
-/// Time-out, in milliseconds, to connect to an engine that may have crashed, and to
-/// read its load report.
+/// Time-out to connect to an engine that may have crashed, and to read its load report.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Hash that identifies one incarnation of an engine.
-fn key(engine: &Engine, life: Option<CacheGeneration>) -> u64 {
-    let incarnation = life.map(|life| life.incarnation.0);
+fn key(engine: &Engine, generation: Option<CacheGeneration>) -> u64 {
+    let incarnation = generation.map(|generation| generation.incarnation.0);
     xxh3_64(format!("{}@{incarnation:?}", engine.addr).as_bytes())
 }
 
-/// Records that `engine`, in `life`, broke a completion, and starts a check for a crash
-/// unless one is under way.
+/// Records that `engine`, while in cache `generation`, broke a completion, and starts a
+/// check for a crash unless one is under way.
 pub fn handle_broken(
     node: &Arc<Node>,
     engine: &Engine,
-    life: Option<CacheGeneration>,
+    generation: Option<CacheGeneration>,
     request: BrokenCompletion,
 ) {
     let listed = |e: &Engine| e.addr == engine.addr && !e.leaving;
     if !node.pool.load().engines.iter().any(listed) {
         return;
     }
-    let key = key(engine, life);
+    let key = key(engine, generation);
     if node.poison.record_broken(key, request) {
-        ntex::rt::spawn(check_for_crash(node.clone(), engine.addr.clone(), life, key));
+        ntex::rt::spawn(check_for_crash(node.clone(), engine.addr.clone(), generation, key));
     }
 }
 
-/// Whether the engine at `addr`, which has just broken completions in `life`, has
-/// crashed: it refuses connections, or a restarted process already accepts them.
-async fn has_crashed(addr: &str, life: Option<CacheGeneration>) -> bool {
+/// Whether the engine at `addr`, which has just broken completions in cache `generation`,
+/// has crashed: it refuses connections, or a restarted process already accepts them.
+async fn has_crashed(addr: &str, generation: Option<CacheGeneration>) -> bool {
     match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
         Ok(Ok(_)) => {
             let url = format!("http://{addr}/v1/load");
             let report =
                 follow::get_json::<LoadReport>(&Client::new(), &url, CONNECT_TIMEOUT).await;
-            let other =
-                |life: CacheGeneration| report.is_ok_and(|r| r.incarnation != life.incarnation);
-            life.is_some_and(other)
+            let restarted = |generation: CacheGeneration| {
+                report.is_ok_and(|r| r.incarnation != generation.incarnation)
+            };
+            generation.is_some_and(restarted)
         }
         Err(_) => false,
     }
 }
 
 /// Checks whether an engine has crashed and, if so, reports the completions it broke.
-async fn check_for_crash(node: Arc<Node>, addr: String, life: Option<CacheGeneration>, key: u64) {
+async fn check_for_crash(
+    node: Arc<Node>,
+    addr: String,
+    generation: Option<CacheGeneration>,
+    key: u64,
+) {
     ntex::time::sleep(GATHER_DELAY).await;
-    let crashed = has_crashed(&addr, life).await;
+    let crashed = has_crashed(&addr, generation).await;
     let reports = node.poison.take_crash_reports(key);
     tracing::info!(target: "poison", "poison: engine {addr} broke {} requests; crashed: {crashed}.", reports.len());
     if !crashed {
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,5 +1,6 @@
-//! State of a router on the own interface about completions that crash engines: suspected
-//! requests, quarantined requests, and records not yet appended to the log service.
+//! A router's state about completions that crash engines, on its own interface (see
+//! `serve`): suspected requests, quarantined requests, and records not yet appended to
+//! the log service.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -17,13 +18,13 @@
 use crate::clock;
 use crate::error::Error;
 
-/// Interval between reads of the `crashes` stream, in milliseconds.
+/// Interval between reads of the `crashes` stream.
 pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after a crash within which all routers have appended their reports of requests
 /// in flight at the crash, and this router has read them (one read interval plus
 /// [`CRASH_REPORT_WINDOW`]).
 pub const REPORT_WINDOW: Duration = READ_INTERVAL.saturating_add(CRASH_REPORT_WINDOW);
-/// Seconds after which an entry in force is appended again, because the log service
+/// Time after which an entry in force is appended again, because the log service
 /// keeps its records for a limited time.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(900);
 /// Most records queued for the log service.
@@ -177,8 +178,8 @@
         self.read.store(true, Ordering::Release);
     }
 
-    /// Adds the crash reports of a router, this one or another. A report on a request in
-    /// quarantine only explains the crash.
+    /// Adds the crash reports of a router, this one or another. A report on a request
+    /// already in quarantine only marks the engine's crash as explained.
     pub fn add(&self, reports: &[CrashReport]) {
         let mut state = self.state.lock().unwrap();
         let wall = clock::unix_time();
@@ -215,7 +216,7 @@
 }
 
 impl State {
-    /// Adds an entry found by this router and queues it for the other routers.
+    /// Adds an entry that this router decided on and queues it for the other routers.
     fn publish(&mut self, entry: Quarantined) {
         self.admit(entry.clone(), "own");
         self.queue(CrashRecord::Quarantined(entry));
--- a/crates/router/src/serve.rs
+++ b/crates/router/src/serve.rs
@@ -4,7 +4,7 @@
 //! - `POST /v1/services/{name}`: a call to a plain service.
 //! - `GET /v1/route?dc=NAME`: which entry host a caller should use.
 //! - `GET /debug/state`: the node's state as JSON.
-//! - `GET /healthz`: 200 while serving, 503 while warming up or draining.
+//! - `GET /healthz`: 200 while serving, 503 while starting up or draining.
 //!
 //! On SIGTERM or SIGINT the node drains: `/v1/route` sends callers to other
 //! routers, new completions get 503 with `Retry-After`, requests in flight
@@ -39,7 +39,7 @@
 /// Bytes that a request body may have beyond the prompt limit.
 const BODY_SLACK: usize = 64 << 10;
 
-/// Longest wait for requests in flight after the drain period, in seconds.
+/// Longest wait for requests in flight after the drain period.
 const DRAIN_LIMIT: Duration = Duration::from_secs(30);
 
 /// Runs a node until it has drained after SIGTERM or SIGINT.
--- a/crates/router/src/serve/route.rs
+++ b/crates/router/src/serve/route.rs
@@ -10,7 +10,7 @@
 use super::{Shared, reply_error};
 use crate::error::Error;
 
-/// How long callers may cache a draining router's route answers, in seconds.
+/// How long callers may cache a draining router's route answers.
 const DRAINING_TTL: Duration = Duration::from_secs(1);
 
 /// Query of `GET /v1/route`.
--- a/crates/router/src/startup.rs
+++ b/crates/router/src/startup.rs
@@ -10,8 +10,7 @@
 //! 3. the configuration, from the log service (see `follow`);
 //! 4. the events of every engine, once, from that position on. When no other
 //!    router is ready, as after a restart of all routers, the events that the engines
-//!    retain are read from the beginning to rebuild the index.
-//!
+//!    retain are read from the beginning to rebuild the index;
 //! 5. the requests in quarantine, from the log service.
 //!
 //! Until then `/healthz` answers 503 and other routers send it no callers.
@@ -36,13 +35,13 @@
 use crate::peer::wire::{Answer, Call, RouterState, WireEngine};
 
 /// Longest wait for the pool and, counted from the same start, for the cache index and
-/// the quarantine, in seconds.
+/// the quarantine.
 pub const STATE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time-out of another router's answer, in seconds.
+/// Time-out of another router's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most other routers asked for their state.
 const MAX_ROUTERS_ASKED: usize = 3;
-/// Interval between checks whether the awaited state is complete, in milliseconds.
+/// Interval between checks whether the awaited state is complete.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Gathers the node's state, starts to follow the engines, and announces the node as ready.
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -65,18 +65,24 @@
     let (log, hosts, service) = (port(0), port(1), port(2));
     let engines: Vec<String> = (0..opts.engines as u16).map(|i| port(10 + i)).collect();
     let routers: Vec<String> = (0..opts.routers as u16).map(|i| port(40 + i)).collect();
-    let site = Rc::new(RefCell::new(Children(Vec::new())));
-    site.borrow_mut().0.push(spawn(&standin, &["log", "--listen", &log])?);
-    site.borrow_mut().0.push(spawn(&standin, &["hosts", "--listen", &hosts, "--lag-ms", "300"])?);
-    site.borrow_mut().0.push(spawn(&standin, &["service", "--listen", &service])?);
+    let processes = Rc::new(RefCell::new(Children(Vec::new())));
+    processes.borrow_mut().0.push(spawn(&standin, &["log", "--listen", &log])?);
+    processes
+        .borrow_mut()
+        .0
+        .push(spawn(&standin, &["hosts", "--listen", &hosts, "--lag-ms", "300"])?);
+    processes.borrow_mut().0.push(spawn(&standin, &["service", "--listen", &service])?);
     for (i, addr) in engines.iter().enumerate() {
         let seed = (i + 1).to_string();
-        site.borrow_mut().0.push(spawn(&standin, &["engine", "--listen", addr, "--seed", &seed])?);
+        processes
+            .borrow_mut()
+            .0
+            .push(spawn(&standin, &["engine", "--listen", addr, "--seed", &seed])?);
     }
     for (i, addr) in routers.iter().enumerate() {
         let dc = format!("dc{}", i % 4 + 1);
         let args = ["--listen", addr, "--dc", &dc, "--log-service", &log, "--host-list", &hosts];
-        site.borrow_mut().0.push(spawn(&router, &args)?);
+        processes.borrow_mut().0.push(spawn(&router, &args)?);
     }
     for addr in [&log, &hosts, &service].into_iter().chain(&engines).chain(&routers) {
         wait_listening(addr).await?;
@@ -91,8 +97,8 @@
     }
     let mut table = Vec::new();
     for &policy in &opts.policies {
-        for site_kind in [Site::Kilimanjaro, Site::LoneStar] {
-            for ws in workspaces(site_kind) {
+        for site in [Site::Kilimanjaro, Site::LoneStar] {
+            for ws in workspaces(site) {
                 let record = Record::Workspace {
                     id: ws.parse().expect("workload workspaces are valid"),
                     template: format!("t-{policy}"),
@@ -102,11 +108,11 @@
             }
         }
         wait_config_applied(&client, &routers, offset).await?;
-        for site_kind in [Site::Kilimanjaro, Site::LoneStar] {
+        for site in [Site::Kilimanjaro, Site::LoneStar] {
             clear_caches(&client, &engines).await?;
             let load = LoadOptions {
                 routers: routers.clone(),
-                site: site_kind,
+                site,
                 calls: opts.calls,
                 rate: opts.rate,
                 callers: DEFAULT_CALLERS,
@@ -118,7 +124,7 @@
             let run_duration = Duration::from_secs_f64(opts.calls as f64 / opts.rate as f64);
             let fault_task = opts.faults.then(|| {
                 let fault = FaultInjection {
-                    site: site.clone(),
+                    processes: processes.clone(),
                     standin: standin.clone(),
                     engine: engines[0].clone(),
                     log: log.clone(),
@@ -130,21 +136,21 @@
                 let _ = fault_task.await;
             }
             eprintln!(
-                "demo: {policy} on {site_kind}: {:.1}% hit rate.",
+                "demo: {policy} on {site}: {:.1}% hit rate.",
                 report.measures.hit_rate() * 100.0
             );
             table.push((policy, report));
         }
     }
     print!("{}", render(&table));
-    drop(site);
+    drop(processes);
     Ok(())
 }
 
 /// The faults that `--faults` injects into each load run: an engine is killed
 /// and restarted, then the log service is unavailable.
 struct FaultInjection {
-    site: Rc<RefCell<Children>>,
+    processes: Rc<RefCell<Children>>,
     standin: PathBuf,
     engine: String,
     log: String,
@@ -155,13 +161,13 @@
         ntex::time::sleep(run_duration / 3).await;
         eprintln!("demo: killing engine {}.", self.engine);
         {
-            let mut site = self.site.borrow_mut();
-            let _ = site.0[FIRST_ENGINE_INDEX].kill();
-            let _ = site.0[FIRST_ENGINE_INDEX].wait();
+            let mut processes = self.processes.borrow_mut();
+            let _ = processes.0[FIRST_ENGINE_INDEX].kill();
+            let _ = processes.0[FIRST_ENGINE_INDEX].wait();
         }
         ntex::time::sleep(Duration::from_secs(1)).await;
         match spawn(&self.standin, &["engine", "--listen", &self.engine, "--seed", "99"]) {
-            Ok(child) => self.site.borrow_mut().0[FIRST_ENGINE_INDEX] = child,
+            Ok(child) => self.processes.borrow_mut().0[FIRST_ENGINE_INDEX] = child,
             Err(error) => eprintln!("demo: engine {} did not restart: {error}.", self.engine),
         }
         ntex::time::sleep(run_duration / 3).await;
