--- a/crates/core/tests/cache_news.rs
+++ b/crates/core/tests/cache_news.rs
@@ -21,8 +21,8 @@
 const TOKENS: u64 = 13_300;
 
 struct Host {
-    holdings: PartIndex,
-    digest: UpdateQueue,
+    part_index: PartIndex,
+    update_queue: UpdateQueue,
     next_target: usize,
 }
 
@@ -32,7 +32,8 @@
 fn share_known(per_s: f64, seconds: u32, sends_updates: bool) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let cache = CacheId::new("1");
-    let new = |_| Host { holdings: PartIndex::new(), digest: UpdateQueue::new(), next_target: 0 };
+    let new =
+        |_| Host { part_index: PartIndex::new(), update_queue: UpdateQueue::new(), next_target: 0 };
     let mut hosts: Vec<Host> = (0..HOSTS).map(new).collect();
     let (mut cached, mut number) = (Vec::<u64>::new(), 0);
     let (mut known, mut checked) = (0u64, 0u64);
@@ -56,19 +57,19 @@
         }
         let page = Page { epoch: 1, next: number + 1, lost: false, events };
         for host in hosts.iter_mut().take(READERS) {
-            let large = host.holdings.large_part_events(&page);
-            host.digest.add(9, page.epoch, &large, now);
-            host.holdings.apply(&page);
+            let large = host.part_index.large_part_events(&page);
+            host.update_queue.add(9, page.epoch, &large, now);
+            host.part_index.apply(&page);
         }
         for reader in 0..READERS {
             let host = &mut hosts[reader];
             let first = host.next_target;
             host.next_target = (first + FANOUT) % HOSTS;
-            let updates = host.digest.recent(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
+            let updates = host.update_queue.recent(PERIOD * (HOSTS / FANOUT * 2) as u32, now);
             for target in (first..first + FANOUT).map(|i| i % HOSTS).filter(|t| *t >= READERS) {
                 if sends_updates && !rng.random_bool(LOSS) {
                     updates.iter().for_each(|update| {
-                        hosts[target].holdings.apply_remote(update.epoch, &update.event())
+                        hosts[target].part_index.apply_remote(update.epoch, &update.event())
                     });
                 }
             }
@@ -77,7 +78,7 @@
             for host in &hosts {
                 for part in &cached {
                     let parts = [Part { id: PartId(*part), tokens: TOKENS }];
-                    known += u64::from(host.holdings.cached_tokens(cache, &parts) > 0);
+                    known += u64::from(host.part_index.cached_tokens(cache, &parts) > 0);
                     checked += 1;
                 }
             }
@@ -100,9 +101,9 @@
     let cache = CacheId::new("1");
     let event = |n| Event { number: n, cache, part: PartId(n), tokens: TOKENS };
     let events: Vec<Event> = (0..1_000).map(event).collect();
-    let mut digest = UpdateQueue::new();
-    digest.add(9, 1, &events, PERIOD);
-    let sent = digest.recent(PERIOD, PERIOD);
+    let mut update_queue = UpdateQueue::new();
+    update_queue.add(9, 1, &events, PERIOD);
+    let sent = update_queue.recent(PERIOD, PERIOD);
     assert!(sent.len() < 64, "{} events do not fit into a heartbeat", sent.len());
     assert_eq!(sent[0].event(), event(999));
 }
@@ -113,11 +114,11 @@
 fn a_part_that_is_read_in_pieces_is_sent_once_as_a_whole() {
     let cache = CacheId::new("1");
     let event = |number, part, tokens| Event { number, cache, part: PartId(part), tokens };
-    let mut digest = UpdateQueue::new();
+    let mut update_queue = UpdateQueue::new();
     for piece in 1..=4 {
-        digest.add(9, 1, &[event(piece, 7, piece * 2_048), event(piece + 4, 8, 0)], PERIOD);
+        update_queue.add(9, 1, &[event(piece, 7, piece * 2_048), event(piece + 4, 8, 0)], PERIOD);
     }
     let sent: Vec<Event> =
-        digest.recent(PERIOD, PERIOD).iter().map(|update| update.event()).collect();
+        update_queue.recent(PERIOD, PERIOD).iter().map(|update| update.event()).collect();
     assert_eq!(sent, [event(8, 8, 0), event(4, 7, 8_192)]);
 }
--- a/crates/core/tests/candidacy_model.rs
+++ b/crates/core/tests/candidacy_model.rs
@@ -26,7 +26,7 @@
     started: Duration,
     joined: Option<Duration>,
     confirmed: Option<Duration>,
-    resting_until: Duration,
+    cool_down_until: Duration,
     /// When it last knew of another candidate.
     last_candidate: Duration,
     up: bool,
@@ -38,7 +38,7 @@
 
 impl Host {
     fn effective_capacity(&self, now: Duration) -> ControlCapacity {
-        if now < self.resting_until { ControlCapacity::default() } else { self.capacity }
+        if now < self.cool_down_until { ControlCapacity::default() } else { self.capacity }
     }
 
     fn status(&self, now: Duration) -> CandidateStatus {
@@ -71,6 +71,7 @@
     sent: Vec<Reports>,
     /// Whether the store is down and confirms no candidate.
     outage: bool,
+    /// Whether engines are due to change their weights.
     pending: bool,
 }
 
@@ -88,7 +89,7 @@
             started: Duration::from_millis(rng.random_range(0..5_000)),
             joined: None,
             confirmed: None,
-            resting_until: Duration::ZERO,
+            cool_down_until: Duration::ZERO,
             last_candidate: Duration::ZERO,
             up: true,
             disconnected: false,
@@ -165,7 +166,7 @@
                 if since_confirmed
                     .is_some_and(|since_confirmed| view.must_cool_down(since_confirmed))
                 {
-                    host.resting_until = now + COOL_DOWN;
+                    host.cool_down_until = now + COOL_DOWN;
                     host.stop_candidacy();
                 }
             }
@@ -258,7 +259,7 @@
         most_candidates = most_candidates.max(candidates);
     }
     // Each candidate that stops is replaced, and is a candidate again before its
-    // replacement has received that and leaves.
+    // replacement has received its new status and leaves.
     assert!(most_candidates <= PREFERRED_CANDIDATES + 8, "{most_candidates} candidates at once");
 }
 
@@ -291,7 +292,10 @@
     assert!(site.hosts[at].joined.is_none(), "it is still a candidate");
     site.hosts[at].disconnected = false;
     site.run(COOL_DOWN / 2);
-    assert!(!site.candidates().contains(&at), "it is a candidate again before its rest has ended");
+    assert!(
+        !site.candidates().contains(&at),
+        "it is a candidate again before its cool-down has ended"
+    );
     site.run(COOL_DOWN / 2 + Duration::from_secs(10));
-    assert!(site.candidates().contains(&at), "it is not a candidate again after its rest");
+    assert!(site.candidates().contains(&at), "it is not a candidate again after its cool-down");
 }
--- a/crates/core/tests/chains.rs
+++ b/crates/core/tests/chains.rs
@@ -8,21 +8,21 @@
 
 const ENGINES: u64 = 12;
 const ROOTS: u64 = 3;
-const CHAINS: u64 = 194;
+const PREFIX_PATHS: u64 = 194;
 
-fn prompt(chain: u64) -> Prompt {
+fn prompt(path: u64) -> Prompt {
     let part = |id, tokens| Part { id: PartId(id), tokens };
-    let parts = vec![part(chain % ROOTS, 512), part(1_000 + chain, 4_870), part(9_000, 6_610)];
+    let parts = vec![part(path % ROOTS, 512), part(1_000 + path, 4_870), part(9_000, 6_610)];
     Prompt { model: "m".into(), parts, input: 11_992, output: 380 }
 }
 
 /// Number of prefix paths for which each engine is the preferred one.
 fn preferred_counts() -> Vec<usize> {
-    let preferred = |chain| {
-        let key = prompt(chain).prefix_hash();
+    let preferred = |path| {
+        let key = prompt(path).prefix_hash();
         (0..ENGINES).max_by_key(|engine| place::rank(key, engine * 7_919)).unwrap()
     };
-    let preferred_engines: Vec<u64> = (0..CHAINS).map(preferred).collect();
+    let preferred_engines: Vec<u64> = (0..PREFIX_PATHS).map(preferred).collect();
     (0..ENGINES)
         .map(|engine| preferred_engines.iter().filter(|preferred| **preferred == engine).count())
         .collect()
@@ -31,7 +31,7 @@
 #[test]
 fn prefix_paths_under_a_few_roots_are_distributed_over_all_engines() {
     let preferred_counts = preferred_counts();
-    let mean = CHAINS as usize / ENGINES as usize;
+    let mean = PREFIX_PATHS as usize / ENGINES as usize;
     assert!(
         preferred_counts.iter().all(|count| (mean / 3..=mean * 2).contains(count)),
         "{preferred_counts:?}"
@@ -42,14 +42,14 @@
 fn a_cached_root_does_not_count_as_a_cached_prefix_path() {
     let cache = CacheId::new("1");
     let event = Event { number: 1, cache, part: PartId(0), tokens: 512 };
-    let mut holdings = PartIndex::new();
-    holdings.apply(&Page { epoch: 1, next: 2, lost: false, events: vec![event] });
+    let mut part_index = PartIndex::new();
+    part_index.apply(&Page { epoch: 1, next: 2, lost: false, events: vec![event] });
     let (one, other) = (prompt(0), prompt(ROOTS));
-    assert_eq!(holdings.cached_tokens(cache, one.shared_parts()), 512);
-    // The first path was just read there completely; of the other, only the root is there.
+    assert_eq!(part_index.cached_tokens(cache, one.shared_parts()), 512);
+    // The first path was just read there completely; of the other, only the root is cached.
     let read = |part: &Part| one.shared_parts().contains(part);
-    assert_eq!(holdings.cached_tokens_assuming(cache, one.shared_parts(), read), 5_382);
-    assert_eq!(holdings.cached_tokens_assuming(cache, other.shared_parts(), read), 512);
+    assert_eq!(part_index.cached_tokens_assuming(cache, one.shared_parts(), read), 5_382);
+    assert_eq!(part_index.cached_tokens_assuming(cache, other.shared_parts(), read), 512);
 }
 
 #[test]
--- a/crates/core/tests/claims_model.rs
+++ b/crates/core/tests/claims_model.rs
@@ -164,7 +164,7 @@
                     return world;
                 };
                 world.read(router, world.log.len());
-                // As in the router, a claim that was not acted on in time is not abandoned.
+                // As in the router, a claim that expired before it was acted on is not abandoned.
                 if (claimed.0 as usize) < world.first_kept {
                     world.attempts[index].stage = Stage::Ended;
                     world.attempts[index].not_run = true;
--- a/crates/core/tests/deadly.rs
+++ b/crates/core/tests/deadly.rs
@@ -68,7 +68,7 @@
 
 #[derive(Debug, Default)]
 struct Engine {
-    runs: Vec<Run>,
+    running: Vec<Run>,
     /// When it is up again.
     up_at: Duration,
 }
@@ -87,7 +87,7 @@
     unserved: u64,
     /// Time of the last crash.
     last_crash: Duration,
-    /// Largest number of entries that `Suspects` held at once.
+    /// Largest number of entries that `Suspects` kept at once.
     peak_entries: usize,
 }
 
@@ -176,17 +176,17 @@
                 continue;
             }
             let engine = up[self.rng.random_range(0..up.len())];
-            self.engines[engine].runs.push(Run { begins: now, ..run });
+            self.engines[engine].running.push(Run { begins: now, ..run });
         }
     }
 
     /// Completes requests, and crashes engines whose deadly requests have reached the crash.
     fn run(&mut self, now: Duration) {
         for index in 0..ENGINES {
-            if self.engines[index].runs.iter().any(|r| r.is_deadly() && r.ends() <= now) {
+            if self.engines[index].running.iter().any(|r| r.is_deadly() && r.ends() <= now) {
                 self.crash(index, now);
             }
-            self.engines[index].runs.retain(|r| r.is_deadly() || r.ends() > now);
+            self.engines[index].running.retain(|r| r.is_deadly() || r.ends() > now);
         }
     }
 
@@ -196,7 +196,7 @@
         self.incarnations += 1;
         self.result.engine_crashes += 1;
         self.result.last_crash = now;
-        for run in std::mem::take(&mut self.engines[index].runs) {
+        for run in std::mem::take(&mut self.engines[index].running) {
             let report = CrashReport {
                 request: Fingerprint(run.request),
                 upstream,
@@ -293,12 +293,15 @@
         let (innocent, unserved) = (result.innocent, result.unserved);
         assert!(
             innocent_detected * min_innocent_per_false <= innocent,
-            "seed {seed}: {innocent_detected} of {innocent} were detected"
+            "seed {seed}: {innocent_detected} of {innocent} innocent requests were detected"
+        );
+        assert!(
+            unserved * 20 <= innocent,
+            "seed {seed}: {unserved} of {innocent} innocent requests were not served"
         );
-        assert!(unserved * 20 <= innocent, "seed {seed}: {unserved} of {innocent} were not served");
         assert!(
             result.peak_entries <= 4_096 + 1_024,
-            "seed {seed}: {} entries held",
+            "seed {seed}: {} entries kept",
             result.peak_entries
         );
     }
--- a/crates/core/tests/feed_model.rs
+++ b/crates/core/tests/feed_model.rs
@@ -40,7 +40,7 @@
 }
 
 struct World {
-    life: CacheGeneration,
+    generation: CacheGeneration,
     cache: BTreeSet<u64>,
     events: Vec<CacheEvent>,
     next: u64,
@@ -53,7 +53,9 @@
 impl World {
     /// A block's hash, salted with the weights version as in production, and with the incarnation.
     fn hash(&self, block: u8) -> u64 {
-        u64::from(block) | u64::from(self.life.version.0) << 8 | self.life.incarnation.0 << 32
+        u64::from(block)
+            | u64::from(self.generation.version.0) << 8
+            | self.generation.incarnation.0 << 32
     }
 
     fn publish(&mut self, kind: EventKind, blocks: Vec<BlockHash>, lost: bool) {
@@ -72,7 +74,7 @@
         let events: Vec<_> =
             self.events.iter().filter(|e| e.seq >= from).take(limit).cloned().collect();
         let next = events.last().map(|e| e.seq + 1).unwrap_or(from);
-        let CacheGeneration { incarnation, version } = self.life;
+        let CacheGeneration { incarnation, version } = self.generation;
         let read = CacheEvents { incarnation, version, next, events };
         let (cursor, _) = feed::apply(&self.index, SLOT, before, &read);
         self.cursor = Some(cursor);
@@ -117,7 +119,7 @@
 
     fn init_test(_: &()) -> World {
         World {
-            life: CacheGeneration { incarnation: Incarnation(1), version: ModelVersion(1) },
+            generation: CacheGeneration { incarnation: Incarnation(1), version: ModelVersion(1) },
             cache: BTreeSet::new(),
             events: Vec::new(),
             next: 0,
@@ -141,12 +143,12 @@
                 }
             }
             Step::Load => {
-                world.life.version.0 += 1;
+                world.generation.version.0 += 1;
                 world.cache.clear();
                 world.publish(EventKind::Cleared, vec![], false);
             }
             Step::Restart => {
-                world.life.incarnation.0 += 1;
+                world.generation.incarnation.0 += 1;
                 world.cache.clear();
                 world.events.clear();
                 world.next = 0;
@@ -181,9 +183,9 @@
 
 /// Checks that the cache index has no entry of another incarnation.
 fn check(world: &World) {
-    assert_eq!(world.index.life(SLOT), Some(world.life));
+    assert_eq!(world.index.life(SLOT), Some(world.generation));
     for block in world.index.blocks_of(SLOT) {
-        assert_eq!(block.0 >> 32, world.life.incarnation.0, "entry of a dead incarnation");
+        assert_eq!(block.0 >> 32, world.generation.incarnation.0, "entry of a dead incarnation");
     }
 }
 
--- a/crates/core/tests/herd.rs
+++ b/crates/core/tests/herd.rs
@@ -23,12 +23,12 @@
 fn replay(period: u32, hosts: usize) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let places: Vec<u64> = (0..ENGINES as u64).map(|e| e * 7_919).collect();
-    let lanes = place::pool_partition(&places, 0.3, false);
+    let in_partition = place::pool_partition(&places, 0.3, false);
     // Per engine: host and completion time of each prompt.
     let mut sent: Vec<Vec<(usize, f64)>> = vec![Vec::new(); ENGINES];
     // Per host: the others' prompts at each engine, as last reported.
     let mut reported = vec![[0usize; ENGINES]; HOSTS];
-    let (mut waited, mut full, mut total) = (0u32, 0u32, 0u32);
+    let (mut waited, mut queue_full, mut total) = (0u32, 0u32, 0u32);
     for ms in 0..20_000u32 {
         let now = f64::from(ms);
         sent.iter_mut().for_each(|e| e.retain(|s| s.1 > now));
@@ -40,10 +40,10 @@
             continue;
         }
         let host = rng.random_range(0..HOSTS);
-        let sampled = place::sample(rng.random(), &places, &lanes, hosts);
+        let sampled = place::sample(rng.random(), &places, &in_partition, hosts);
         let part = rng.random_range(0..PARTS);
         let own = |e: usize| sent[e].iter().filter(|s| s.0 == host).count();
-        let views: Vec<Candidate> = (0..ENGINES)
+        let candidates: Vec<Candidate> = (0..ENGINES)
             .map(|e| Candidate {
                 rank: place::rank(part, places[e]),
                 unread: 0,
@@ -58,16 +58,16 @@
                 remote: false,
                 weights: 1,
                 age: WeightsAge::Current,
-                in_partition: lanes[e],
+                in_partition: in_partition[e],
                 sampled: sampled[e],
             })
             .collect();
         let need = Need { input: 383, shared: 92, output: 8, target: 400.0 };
-        let engine = &mut sent[place::place(need, &views).unwrap().engine];
+        let engine = &mut sent[place::place(need, &candidates).unwrap().engine];
         total += 1;
         match engine.len() {
             count if count >= SLOTS + QUEUE => {
-                full += 1;
+                queue_full += 1;
                 waited += 1;
             }
             count => {
@@ -78,14 +78,16 @@
             }
         }
     }
-    (f64::from(waited) / f64::from(total), f64::from(full) / f64::from(total))
+    (f64::from(waited) / f64::from(total), f64::from(queue_full) / f64::from(total))
 }
 
 #[test]
 fn delayed_load_reports_cause_no_thundering_herd_on_one_engine() {
-    let (waited, full) = replay(400, 9);
-    let (waited_drawn, full_drawn) = replay(400, HOSTS);
-    println!("all: {waited:.3} {full:.3}, drawn: {waited_drawn:.3} {full_drawn:.3}");
-    assert!(waited_drawn < waited / 4.0, "{waited_drawn:.3} against {waited:.3}");
-    assert!(full_drawn == 0.0, "{full_drawn:.3} against {full:.3}");
+    let (waited, queue_full) = replay(400, 9);
+    let (waited_sampled, queue_full_sampled) = replay(400, HOSTS);
+    println!(
+        "all: {waited:.3} {queue_full:.3}, sampled: {waited_sampled:.3} {queue_full_sampled:.3}"
+    );
+    assert!(waited_sampled < waited / 4.0, "{waited_sampled:.3} against {waited:.3}");
+    assert!(queue_full_sampled == 0.0, "{queue_full_sampled:.3} against {queue_full:.3}");
 }
--- a/crates/core/tests/lease_model.rs
+++ b/crates/core/tests/lease_model.rs
@@ -202,7 +202,7 @@
         let holders: Vec<(usize, Fencing)> = (0..ROUTERS)
             .filter_map(|r| Some((r, world.routers[r].contender.token(world.clock(r))?)))
             .collect();
-        assert!(holders.len() <= 1, "held by several at {:?}: {holders:?}", world.now);
+        assert!(holders.len() <= 1, "several lease holders at {:?}: {holders:?}", world.now);
         if let Some((router, token)) = holders.first().copied() {
             assert!(
                 Some(token) >= world.highest,
@@ -248,6 +248,6 @@
     let held_by_a = tokens.iter().filter(|(n, _)| *n == "a").count();
     assert!(held_by_a >= 10, "a keeps the lease while it renews: {tokens:?}");
     let (last, token) = tokens.last().unwrap();
-    assert_eq!(*last, "b", "b takes over from a paused holder");
+    assert_eq!(*last, "b", "b takes over from a paused lease holder");
     assert!(*token > Fencing(0), "with a higher token");
 }
--- a/crates/core/tests/members_model.rs
+++ b/crates/core/tests/members_model.rs
@@ -83,8 +83,14 @@
                 let actual = self.tables[b].as_ref().map(|t| t.me().status);
                 let listed = table.status(&addr(b));
                 match actual {
-                    Some(status) => assert_eq!(listed, Some(status), "r{a} on r{b}"),
-                    None => assert_eq!(listed, Some(Status::Down), "r{a} on dead r{b}"),
+                    Some(status) => {
+                        assert_eq!(listed, Some(status), "r{a} lists the status of r{b}")
+                    }
+                    None => assert_eq!(
+                        listed,
+                        Some(Status::Down),
+                        "r{a} lists the status of the dead r{b}"
+                    ),
                 }
             }
         }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -121,16 +121,16 @@
     engines: &mut [Engine],
     request: Request,
     now: f64,
-    out: &mut Outcome,
+    outcome: &mut Outcome,
 ) -> Option<Request> {
     let shared = request.part.map_or(0, |_| SHARED);
     let keeps = |e: &Engine| request.part.is_some_and(|p| e.kept.contains(&p));
-    let any = engines.iter().any(keeps);
+    let any_keeps = engines.iter().any(keeps);
     let places: Vec<u64> = (0..engines.len() as u64).collect();
-    let lanes = place::pool_partition(&places, 0.25, shared > 0);
-    let views: Vec<Candidate> = engines
+    let in_partition = place::pool_partition(&places, 0.25, shared > 0);
+    let candidates: Vec<Candidate> = engines
         .iter()
-        .zip(lanes)
+        .zip(in_partition)
         .zip(&places)
         .map(|((e, in_partition), place)| Candidate {
             rank: place::rank(request.part.unwrap_or_default(), *place),
@@ -141,7 +141,7 @@
             capacity: CAPACITY,
             pace: THROUGHPUT,
             held: if scenario.cache_known && keeps(e) { shared } else { 0 },
-            copy: (scenario.cache_known && any && !keeps(e))
+            copy: (scenario.cache_known && any_keeps && !keeps(e))
                 .then_some(CopyableCache { held: shared, token_ms: 0.0024 }),
             failures: 0.0,
             remote: false,
@@ -153,23 +153,23 @@
         .collect();
     let target = if shared > 0 { 800.0 } else { 400.0 };
     let input = shared + request.own;
-    let choice = place::place(Need { input, shared, output: 30, target }, &views).unwrap();
+    let choice = place::place(Need { input, shared, output: 30, target }, &candidates).unwrap();
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1e3);
-    let ahead = views[choice.engine].unread;
+    let ahead = candidates[choice.engine].unread;
     if scenario.queue_large
         && place::must_wait(input, ahead, ms(now - request.arrived), ms(10_000.0))
     {
         return Some(request);
     }
-    let copied = any && choice.copies;
+    let copied = any_keeps && choice.copies;
     let engine = &mut engines[choice.engine];
     let read = match keeps(engine) || copied {
         true => request.own,
         false => input,
     };
     if read > request.own {
-        out.shared_read += shared;
-        out.reread += if any { shared } else { 0 };
+        outcome.shared_read += shared;
+        outcome.reread += if any_keeps { shared } else { 0 };
     }
     let begun = engine.idle_at.max(now);
     engine.idle_at = begun + read as f64 / THROUGHPUT;
@@ -186,13 +186,16 @@
     let step = if engine.sent.len() > 1 { READ_STEP_MS } else { STEP_MS };
     let first = engine.idle_at + 4.0 * step;
     let on_time = first - request.arrived <= target;
-    out.small_abandoned += u32::from(shared == 0 && first - request.arrived > CALLER_TIMEOUT_MS);
+    outcome.small_abandoned +=
+        u32::from(shared == 0 && first - request.arrived > CALLER_TIMEOUT_MS);
     match shared > 0 {
         true => {
-            (out.large, out.large_on_time) = (out.large + 1, out.large_on_time + u32::from(on_time))
+            (outcome.large, outcome.large_on_time) =
+                (outcome.large + 1, outcome.large_on_time + u32::from(on_time))
         }
         false => {
-            (out.small, out.small_on_time) = (out.small + 1, out.small_on_time + u32::from(on_time))
+            (outcome.small, outcome.small_on_time) =
+                (outcome.small + 1, outcome.small_on_time + u32::from(on_time))
         }
     }
     None
@@ -212,34 +215,34 @@
 #[test]
 fn parts_are_copied_from_engines_that_keep_them_instead_of_read_again() {
     let known = replay(OVERLOAD, 20.0);
-    let blind = replay(Scenario { cache_known: false, ..OVERLOAD }, 20.0);
+    let unknown = replay(Scenario { cache_known: false, ..OVERLOAD }, 20.0);
     assert_eq!(known.reread, 0, "{known:?}");
-    assert!(blind.reread > 200_000, "{blind:?}");
+    assert!(unknown.reread > 200_000, "{unknown:?}");
 }
 
 #[test]
 fn late_load_reports_overload_engines_and_early_ones_do_not() {
     let busy = Scenario { small_per_s: 400.0, large_per_s: 16.0, ..NORMAL_LOAD };
-    let soon = replay(busy, 30.0);
+    let early = replay(busy, 30.0);
     let late = replay(Scenario { report_delay_ms: 500.0, ..busy }, 30.0);
-    let (soon, late) =
-        (share(soon.small_on_time, soon.small), share(late.small_on_time, late.small));
-    assert!(soon > late + 0.02, "on time: {soon} reported early, {late} reported late");
+    let (early, late) =
+        (share(early.small_on_time, early.small), share(late.small_on_time, late.small));
+    assert!(early > late + 0.02, "on time: {early} reported early, {late} reported late");
 }
 
 #[test]
 fn small_prompts_are_served_while_large_ones_exceed_the_capacity() {
     let worst = Scenario { large_per_s: 36.0, ..OVERLOAD };
-    let held = replay(worst, 20.0);
+    let queued = replay(worst, 20.0);
     let sent = replay(Scenario { queue_large: false, ..worst }, 20.0);
     // Where large ones wait at the router, small ones are on time more often.
-    assert!(held.small_on_time * 2 > sent.small_on_time * 3, "{held:?} {sent:?}");
+    assert!(queued.small_on_time * 2 > sent.small_on_time * 3, "{queued:?} {sent:?}");
     // In a pool partition of their own, many are on time and hardly any callers give up,
     // whether large ones wait at the router or not.
-    assert!(share(held.small_on_time, held.small) > 0.3, "{held:?}");
-    assert!(share(held.small_abandoned, held.small) < 0.02, "{held:?}");
+    assert!(share(queued.small_on_time, queued.small) > 0.3, "{queued:?}");
+    assert!(share(queued.small_abandoned, queued.small) < 0.02, "{queued:?}");
     assert!(share(sent.small_abandoned, sent.small) < 0.02, "{sent:?}");
-    assert!(share(held.large_on_time, held.large) > 0.15, "{held:?}");
+    assert!(share(queued.large_on_time, queued.large) > 0.15, "{queued:?}");
 }
 
 #[test]
--- a/crates/core/tests/picture_model.rs
+++ b/crates/core/tests/picture_model.rs
@@ -34,7 +34,7 @@
     Query(Vec<u64>, Vec<u8>),
 }
 
-fn life() -> impl Strategy<Value = CacheGeneration> {
+fn generation() -> impl Strategy<Value = CacheGeneration> {
     (0u64..3, 1u32..3).prop_map(|(i, v)| CacheGeneration {
         incarnation: Incarnation(i),
         version: ModelVersion(v),
@@ -58,10 +58,10 @@
     fn transitions(_: &Model) -> BoxedStrategy<Step> {
         let slot = 0..SLOTS;
         prop_oneof![
-            3 => (slot.clone(), life(), blocks()).prop_map(|(s, l, b)| Step::Stored(s, l, b)),
-            2 => (slot.clone(), life(), blocks()).prop_map(|(s, l, b)| Step::Predicted(s, l, b)),
-            2 => (slot.clone(), life(), blocks()).prop_map(|(s, l, b)| Step::Removed(s, l, b)),
-            1 => (slot.clone(), life()).prop_map(|(s, l)| Step::Begin(s, l)),
+            3 => (slot.clone(), generation(), blocks()).prop_map(|(s, l, b)| Step::Stored(s, l, b)),
+            2 => (slot.clone(), generation(), blocks()).prop_map(|(s, l, b)| Step::Predicted(s, l, b)),
+            2 => (slot.clone(), generation(), blocks()).prop_map(|(s, l, b)| Step::Removed(s, l, b)),
+            1 => (slot.clone(), generation()).prop_map(|(s, l)| Step::Begin(s, l)),
             1 => slot.clone().prop_map(Step::Clear),
             3 => (blocks(), prop::collection::vec(slot, 1..4)).prop_map(|(b, c)| Step::Query(b, c)),
         ]
@@ -70,27 +70,27 @@
 
     fn apply(mut model: Model, step: &Step) -> Model {
         match step {
-            Step::Stored(slot, life, blocks) => {
-                let entry = model.slots.entry(*slot).or_insert((*life, HashSet::new()));
-                if entry.0 != *life {
-                    *entry = (*life, HashSet::new());
+            Step::Stored(slot, generation, blocks) => {
+                let entry = model.slots.entry(*slot).or_insert((*generation, HashSet::new()));
+                if entry.0 != *generation {
+                    *entry = (*generation, HashSet::new());
                 }
                 entry.1.extend(blocks);
             }
-            Step::Predicted(slot, life, blocks) => match model.slots.get_mut(slot) {
-                Some((known, set)) if known == life => set.extend(blocks),
+            Step::Predicted(slot, generation, blocks) => match model.slots.get_mut(slot) {
+                Some((known, set)) if known == generation => set.extend(blocks),
                 _ => {}
             },
-            Step::Removed(slot, life, blocks) => match model.slots.get_mut(slot) {
-                Some((known, set)) if known == life => blocks.iter().for_each(|b| {
+            Step::Removed(slot, generation, blocks) => match model.slots.get_mut(slot) {
+                Some((known, set)) if known == generation => blocks.iter().for_each(|b| {
                     set.remove(b);
                 }),
                 _ => {}
             },
-            Step::Begin(slot, life) => match model.slots.get(slot) {
-                Some((known, _)) if known == life => {}
+            Step::Begin(slot, generation) => match model.slots.get(slot) {
+                Some((known, _)) if known == generation => {}
                 _ => {
-                    model.slots.insert(*slot, (*life, HashSet::new()));
+                    model.slots.insert(*slot, (*generation, HashSet::new()));
                 }
             },
             Step::Clear(slot) => {
@@ -128,12 +128,16 @@
 
     fn apply(index: CacheIndex, model: &Model, step: Step) -> CacheIndex {
         match step {
-            Step::Stored(slot, life, blocks) => index.stored(Slot(slot), life, &hashes(&blocks)),
-            Step::Predicted(slot, life, blocks) => {
-                index.predicted(Slot(slot), life, &hashes(&blocks))
+            Step::Stored(slot, generation, blocks) => {
+                index.stored(Slot(slot), generation, &hashes(&blocks))
             }
-            Step::Removed(slot, life, blocks) => index.removed(Slot(slot), life, &hashes(&blocks)),
-            Step::Begin(slot, life) => index.begin(Slot(slot), life),
+            Step::Predicted(slot, generation, blocks) => {
+                index.predicted(Slot(slot), generation, &hashes(&blocks))
+            }
+            Step::Removed(slot, generation, blocks) => {
+                index.removed(Slot(slot), generation, &hashes(&blocks))
+            }
+            Step::Begin(slot, generation) => index.begin(Slot(slot), generation),
             Step::Clear(slot) => index.clear(Slot(slot)),
             Step::Query(blocks, candidates) => {
                 let slots: Vec<Slot> = candidates.iter().map(|s| Slot(*s)).collect();
@@ -150,7 +154,10 @@
 
     fn check_invariants(index: &CacheIndex, model: &Model) {
         for slot in 0..SLOTS {
-            assert_eq!(index.life(Slot(slot)), model.slots.get(&slot).map(|(life, _)| *life));
+            assert_eq!(
+                index.life(Slot(slot)),
+                model.slots.get(&slot).map(|(generation, _)| *generation)
+            );
         }
         let expected: u64 = model.slots.values().map(|(_, set)| set.len() as u64).sum();
         assert_eq!(index.counts().entries, expected);
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -32,8 +32,8 @@
 /// Adds `reports` one second apart and returns the requests detected once `CRASH_REPORT_WINDOW` has passed
 /// after the last one.
 fn detect_after(suspects: &mut Suspects, reports: &[CrashReport]) -> Vec<Fingerprint> {
-    for (n, e) in reports.iter().enumerate() {
-        suspects.add(e, seconds(n as u64));
+    for (n, report) in reports.iter().enumerate() {
+        suspects.add(report, seconds(n as u64));
     }
     let detected = suspects.detect(seconds(reports.len() as u64) + CRASH_REPORT_WINDOW);
     detected.into_iter().map(|(request, _)| request).collect()
@@ -163,7 +163,7 @@
     ];
     let mut suspects = receive_all(&reports);
     assert!(suspects.withholds(POISON) && suspects.withholds(innocent));
-    // The crash whose reports are not all in yet is explained as well.
+    // The crash that not all hosts have reported yet is explained too.
     let detected = suspects.detect(Duration::from_millis(295));
     assert_eq!(detected, [(POISON, vec![1, 2, 6, 3])]);
 }
@@ -244,15 +244,17 @@
 fn a_request_that_ran_to_its_end_between_the_crashes_is_not_their_cause() {
     let mut suspects = Suspects::new();
     for upstream in 1..=20 {
-        let well = Some(Duration::from_millis(400));
-        let report = CrashReport { well, ..crash_report(POISON, upstream, upstream) };
+        let last_completed = Some(Duration::from_millis(400));
+        let report =
+            CrashReport { well: last_completed, ..crash_report(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
         assert_eq!(suspects.detect(seconds(upstream) + CRASH_REPORT_WINDOW), []);
     }
     // Its last successful run was shortly before these crashes.
     for upstream in 21..=25 {
-        let well = Some(seconds(upstream - 20));
-        let report = CrashReport { well, ..crash_report(POISON, upstream, upstream) };
+        let last_completed = Some(seconds(upstream - 20));
+        let report =
+            CrashReport { well: last_completed, ..crash_report(POISON, upstream, upstream) };
         suspects.add(&report, seconds(upstream));
     }
     assert_eq!(suspects.detect(seconds(25) + CRASH_REPORT_WINDOW).len(), 1);
@@ -262,8 +264,8 @@
 #[test_case(&[0, 1, 2]; "in order")]
 #[test_case(&[2, 0, 1]; "out of order")]
 fn reports_that_are_read_late_and_together_count_by_when_the_crashes_came(order: &[usize]) {
-    let crash = |at: u64, well: u64| CrashReport {
-        well: Some(Duration::from_millis(well)),
+    let crash = |at: u64, last_completed: u64| CrashReport {
+        well: Some(Duration::from_millis(last_completed)),
         at: Duration::from_millis(at),
         ..crash_report(POISON, at, at)
     };
@@ -292,9 +294,9 @@
     let mut reports = Vec::new();
     for upstream in 1..=4 {
         for attempt in 0..3 {
-            let well = Some(Duration::from_millis(1_000 * upstream - 923));
+            let last_completed = Some(Duration::from_millis(1_000 * upstream - 923));
             let report = crash_report(common, upstream, 10 * upstream + attempt);
-            reports.push(CrashReport { well, ..report });
+            reports.push(CrashReport { well: last_completed, ..report });
         }
         reports.push(crash_report(POISON, upstream, upstream / 2));
     }
@@ -335,16 +337,16 @@
     innocent: u64,
     /// Crashes per cause.
     crashes: Vec<usize>,
-    /// Largest number of entries that `Suspects` held at once.
+    /// Largest number of entries that `Suspects` kept at once.
     peak_entries: usize,
 }
 
 /// Replays crashes of a site's engines by several requests in turn, each engine
 /// running at full capacity. An aborted innocent request is retried on a random engine, and
 /// its caller makes a new attempt once the sends of the attempt are used up; it completes
-/// before the second crash after that. Returns what is detected and the largest number of
-/// entries held.
-fn burst(seed: u64, poisons: u64) -> Replayed {
+/// unless that engine is one of the next two that crash. Returns what is detected and the largest number of
+/// entries kept.
+fn replay_crashes(seed: u64, poisons: u64) -> Replayed {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut suspects = Suspects::new();
     // Request, sends so far, engine, crashes until it completes.
@@ -372,10 +374,12 @@
             again.then(|| (request, sends + 1, rng.random_range(0..ENGINES), 2))
         };
         let mut still_retried = Vec::new();
-        for (request, sends, place, left) in retried {
-            match place == engine {
+        for (request, sends, retry_engine, crashes_left) in retried {
+            match retry_engine == engine {
                 true => still_retried.extend(begin(request, sends, &mut in_flight)),
-                false if left > 1 => still_retried.push((request, sends, place, left - 1)),
+                false if crashes_left > 1 => {
+                    still_retried.push((request, sends, retry_engine, crashes_left - 1))
+                }
                 false => {}
             }
         }
@@ -396,12 +400,12 @@
 #[test]
 fn under_the_worst_load_a_single_cause_is_detected_at_the_third_crash_and_no_other_request() {
     for seed in 0..200 {
-        let replayed = burst(seed, 1);
+        let replayed = replay_crashes(seed, 1);
         assert_eq!(replayed.detected, [POISON], "seed {seed}");
         assert_eq!(replayed.crashes, [MIN_CRASHES], "seed {seed}");
         assert!(
             replayed.peak_entries <= 4_096 + 1_024,
-            "seed {seed}: {} entries held",
+            "seed {seed}: {} entries kept",
             replayed.peak_entries
         );
     }
@@ -411,7 +415,7 @@
 fn alternating_causes_are_all_detected_within_three_more_crashes() {
     let (mut innocent, mut innocent_detected) = (0, 0);
     for seed in 0..200 {
-        let replayed = burst(seed, 4);
+        let replayed = replay_crashes(seed, 4);
         innocent += replayed.innocent;
         innocent_detected +=
             replayed.detected.iter().filter(|r| r.0 >= FIRST_INNOCENT).count() as u64;
@@ -422,7 +426,7 @@
         );
         assert!(
             replayed.peak_entries <= 4_096 + 1_024,
-            "seed {seed}: {} entries held",
+            "seed {seed}: {} entries kept",
             replayed.peak_entries
         );
     }
@@ -443,7 +447,7 @@
     for n in 1..100_000 {
         suspects.add(&crash_report(Fingerprint(n), 100 + n, n), seconds(1));
     }
-    assert!(suspects.len() <= 4_096 + 1_024, "{} entries held", suspects.len());
+    assert!(suspects.len() <= 4_096 + 1_024, "{} entries kept", suspects.len());
     assert_eq!(detect_after(&mut suspects, &[crash_report(POISON, 3, 3)]), [POISON]);
 }
 
--- a/crates/core/tests/policies.rs
+++ b/crates/core/tests/policies.rs
@@ -87,12 +87,12 @@
     let ask = ask_with(&prefix, &Params::default());
     let pick =
         |candidates: &[Candidate]| Router::new().pick(PolicyName::PrefixAware, ask, candidates);
-    // The prompts waiting there to be read first take longer than reading this one again.
+    // Reading the prompts that wait at the cached engine takes longer than reading this one again.
     let waiting = Candidate { pending: Tokens(700), ..candidate(1, 2, 40) };
     assert_eq!(pick(&[candidate(0, 0, 0), waiting]), Some(0));
-    // So many requests run there that each step is slow.
+    // So many requests run at the cached engine that each step is slow.
     assert_eq!(pick(&[candidate(0, 0, 0), candidate(1, 21, 40)]), Some(0));
-    // A prompt longer than what waits there is still served faster where it is cached.
+    // A prompt longer than those that wait at the cached engine is still served faster there.
     let short = Candidate { pending: Tokens(300), ..candidate(1, 2, 40) };
     assert_eq!(pick(&[candidate(0, 0, 0), short]), Some(1));
 }
--- a/crates/core/tests/quota_model.rs
+++ b/crates/core/tests/quota_model.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// A workspace sends its usual load, which swings by a quarter in waves, to 69 hosts that
-/// callers choose unevenly.
+/// A workspace sends its usual load, which swings by a quarter in waves, to 69 hosts,
+/// some of which callers choose more often than others.
 #[test_case(LARGE, vec![]; "a large one, calm")]
 #[test_case(SMALL, vec![]; "a small one, calm")]
 #[test_case(LARGE, vec![partition(0.17, 5.5)]; "a large one, some hosts cut off")]
@@ -162,8 +162,8 @@
     assert_eq!(world.excess(), None);
 }
 
-/// A workspace that sends several times its quota is admitted at nine tenths of the quota at
-/// least, once the accounts have settled.
+/// Of a workspace that sends several times its quota, at least nine tenths of the quota are
+/// admitted once the quota accounts have settled.
 #[test_case(LARGE; "a large one")]
 #[test_case(SMALL; "a small one")]
 fn a_workspace_above_its_quota_is_admitted_up_to_its_quota(rate: f64) {
@@ -178,6 +178,9 @@
         world.run(secs(30.0), &[]);
         assert_eq!(world.excess(), None);
         let (admitted, allowed) = (world.admitted(secs(10.0), secs(30.0)), rate * 20.0);
-        assert!(admitted >= 0.9 * allowed, "seed {seed}: {admitted:.0} of {allowed:.0}");
+        assert!(
+            admitted >= 0.9 * allowed,
+            "seed {seed}: {admitted:.0} of {allowed:.0} tokens admitted"
+        );
     }
 }
--- a/crates/core/tests/quota_model/world.rs
+++ b/crates/core/tests/quota_model/world.rs
@@ -79,13 +79,13 @@
 }
 
 impl Host {
-    fn new(rng: &mut SmallRng, now: Duration, lead: Duration) -> Self {
+    fn new(rng: &mut SmallRng, now: Duration, uptime: Duration) -> Self {
         Self {
             gate: Gate::new(),
             ledger: Ledger::default(),
             hosts: Hosts::default(),
             incarnation: rng.random(),
-            started: now.saturating_sub(lead),
+            started: now.saturating_sub(uptime),
             down_until: Duration::ZERO,
             frozen_until: Duration::ZERO,
             partitioned_until: Duration::ZERO,
@@ -138,11 +138,11 @@
 
     /// Simulates `length`; times of the load and of events are relative to its start.
     pub fn run(&mut self, length: Duration, events: &[Event]) {
-        let mut left: Vec<Event> = events.to_vec();
-        left.sort_by_key(|e| e.at);
-        left.reverse();
+        let mut remaining: Vec<Event> = events.to_vec();
+        remaining.sort_by_key(|e| e.at);
+        remaining.reverse();
         while self.now < WARMUP + length {
-            while let Some(event) = left.pop_if(|e| WARMUP + e.at <= self.now) {
+            while let Some(event) = remaining.pop_if(|e| WARMUP + e.at <= self.now) {
                 self.inject(event.fault);
             }
             self.send_heartbeats();
@@ -224,18 +224,18 @@
 
     fn reachability(&self, n: usize) -> Hosts {
         let host = &self.hosts[n];
-        let (mut heard, mut silent) = (1, HashSet::new());
+        let (mut reachable, mut silent) = (1, HashSet::new());
         for other in (0..self.hosts.len()).filter(|other| *other != n) {
             let last = host.last_heartbeats.get(&other);
             match last {
-                Some(at) if self.now < *at + HEARTBEAT_TIMEOUT => heard += 1,
+                Some(at) if self.now < *at + HEARTBEAT_TIMEOUT => reachable += 1,
                 _ if self.now < *last.unwrap_or(&host.added) + RESERVATION_TIME => {
                     silent.insert(other as u64);
                 }
                 _ => {}
             }
         }
-        Hosts { heard, silent }
+        Hosts { heard: reachable, silent }
     }
 
     /// The quota coordinators of the workspace as known to host `n`: the reachable hosts with the
@@ -300,24 +300,24 @@
         let mean = LARGE_SHARE * SIZES[0] as f64 + (1.0 - LARGE_SHARE) * SIZES[1] as f64;
         let expected = rate * STEP.as_secs_f64() / mean;
         let count = expected as usize + usize::from(self.rng.random_bool(expected.fract()));
-        let open: Vec<usize> =
+        let running: Vec<usize> =
             (0..self.hosts.len()).filter(|n| self.hosts[*n].is_running(self.now)).collect();
-        let total: f64 = open.iter().map(|n| self.hosts[*n].weight).sum();
-        if open.is_empty() {
+        let total: f64 = running.iter().map(|n| self.hosts[*n].weight).sum();
+        if running.is_empty() {
             return;
         }
         for _ in 0..count {
             let mut at = self.rng.random_range(0.0..total);
-            let chosen = open.iter().copied().find(|n| {
+            let chosen = running.iter().copied().find(|n| {
                 at -= self.hosts[*n].weight;
                 at <= 0.0
             });
-            let n = chosen.unwrap_or(open[0]);
+            let n = chosen.unwrap_or(running[0]);
             let cost = SIZES[usize::from(!self.rng.random_bool(LARGE_SHARE))];
-            let (limit, draw, all) = (self.limit(), self.rng.random(), self.hosts.len());
+            let (limit, draw, host_count) = (self.limit(), self.rng.random(), self.hosts.len());
             let uptime = self.now - self.hosts[n].started;
             let gate = &mut self.hosts[n].gate;
-            let admission = gate.admit(WORKSPACE, cost, draw, &limit, all, uptime);
+            let admission = gate.admit(WORKSPACE, cost, draw, &limit, host_count, uptime);
             self.requests.push((self.now, cost, admission == Admission::Admitted));
         }
     }
@@ -328,10 +328,10 @@
         let window = self.initial.tolerance.window;
         let replaced =
             |n: usize| self.limits.get(n + 1).map(|(at, _)| *at + LIMIT_PROPAGATION + window);
-        let binds = |n: &usize| {
+        let applies = |n: &usize| {
             self.limits[*n].0 < at + window && replaced(*n).is_none_or(|until| at < until)
         };
-        let bounds = (0..self.limits.len()).filter(binds).map(|n| self.limits[n].1.bound());
+        let bounds = (0..self.limits.len()).filter(applies).map(|n| self.limits[n].1.bound());
         bounds.fold(0.0, f64::max)
     }
 
--- a/crates/core/tests/registry_model.rs
+++ b/crates/core/tests/registry_model.rs
@@ -40,16 +40,16 @@
 }
 
 fn entry(who: usize, statement: Statement) -> Entry {
-    let Statement { born, beat, leaving } = statement;
+    let Statement { start_time, sequence, leaving } = statement;
     Entry {
-        life: Instance { id: id(who), born: StartTime(born) },
+        life: Instance { id: id(who), born: StartTime(start_time) },
         service: "s".into(),
         addr: ([10, 0, 0, who as u8], 80).into(),
         dc: String::from("dc").into(),
         slots: 4,
         leaving,
         weights: vec![],
-        beat,
+        beat: sequence,
     }
 }
 
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy)]
 struct Statement {
     /// Start time of the incarnation that made it.
-    born: u64,
+    start_time: u64,
     /// Its sequence number within that incarnation.
-    beat: u64,
+    sequence: u64,
     leaving: bool,
 }
 
@@ -90,9 +90,9 @@
             match step {
                 Step::State { who, leaving } => {
                     let expected = all_expected.entry(who).or_default();
-                    let (born, beat) =
-                        expected.statements.last().map_or((1, 0), |s| (s.born, s.beat));
-                    let statement = Statement { born, beat: beat + 1, leaving };
+                    let (start_time, sequence) =
+                        expected.statements.last().map_or((1, 0), |s| (s.start_time, s.sequence));
+                    let statement = Statement { start_time, sequence: sequence + 1, leaving };
                     expected.statements.push(statement);
                     registry.apply(entry(who, statement), now);
                     expected.leaving |=
@@ -105,8 +105,8 @@
                 }
                 Step::Restarted { who, leaving } => {
                     let expected = all_expected.entry(who).or_default();
-                    let born = expected.statements.last().map_or(1, |s| s.born + 1);
-                    let statement = Statement { born, beat: 1, leaving };
+                    let start_time = expected.statements.last().map_or(1, |s| s.start_time + 1);
+                    let statement = Statement { start_time, sequence: 1, leaving };
                     expected.statements.push(statement);
                     registry.apply(entry(who, statement), now);
                     (expected.leaving, expected.listed_until) = (leaving, None);
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -114,9 +114,9 @@
     engines: usize,
 ) {
     let outcome = run(&case(hosts, engines, SHORT));
-    let all = TAKEOVER + outcome.changed;
-    println!("taken over after {TAKEOVER} s, changed after {all} s");
-    assert!(all < 14.0, "{all} s");
+    let total = TAKEOVER + outcome.changed;
+    println!("taken over after {TAKEOVER} s, changed after {total} s");
+    assert!(total < 14.0, "{total} s");
 }
 
 /// Share of datagrams lost.
@@ -149,7 +149,7 @@
     }
     let share = receipts as f64 / (rounds * others.len()) as f64;
     println!("{hosts} hosts: {share:.4} receive it");
-    // One leg and one forward, twice: each transmission reaches 0.95 x 0.95.
+    // Sent to a relay and forwarded by it, twice: each transmission reaches 0.95 x 0.95.
     let missed = 1.0 - (1.0 - LOSS) * (1.0 - LOSS);
     assert!(share > 1.0 - missed * missed - 0.005, "{share} receive it");
 }
--- a/crates/core/tests/rollout_load/model.rs
+++ b/crates/core/tests/rollout_load/model.rs
@@ -22,10 +22,11 @@
 const CALL: f64 = 0.01;
 const NO_ANSWER: f64 = 0.3;
 
-/// Seconds between the announcement and the order, between the order and the first question,
-/// and between polls, and the longest wait for the announcement to be sent.
+/// Seconds between the announcement and the order, between the order and the first question
+/// whether the engine has changed, and between polls for changes that are due, and the longest
+/// wait for the announcement to be sent.
 const ORDER_DELAY: f64 = 0.12;
-const FIRST_REPORT: f64 = 0.65;
+const FIRST_QUESTION_DELAY: f64 = 0.65;
 const POLL: f64 = 0.05;
 const ANNOUNCE_TIMEOUT: f64 = 1.0;
 
@@ -97,6 +98,7 @@
     failures: u32,
     /// Whether this attempt's report call, and whether its order, gets no answer.
     fails: (bool, bool),
+    /// Answers since the order that the engine has not changed and is not loading.
     idle: u32,
     /// Seconds left of finishing and of loading.
     finishing: f64,
@@ -111,7 +113,7 @@
     known: Vec<rollout::Engine>,
     announcements: Announcements,
     active_calls: usize,
-    call_pacer: CallLimiter,
+    call_limiter: CallLimiter,
     calls: Vec<(f64, f64)>,
     messages: Vec<(f64, f64)>,
     rng: ChaCha8Rng,
@@ -124,17 +126,17 @@
 /// Simulates until all engines serve the newest version, for `max_time` seconds at most.
 pub fn simulate(simulation: &Simulation, max_time: f64) -> Outcome {
     let mut model = Model::new(simulation.clone());
-    let (mut named, mut outcome) = (AnnouncedVersions::new(), Outcome::default());
+    let (mut announced_versions, mut outcome) = (AnnouncedVersions::new(), Outcome::default());
     let (mut poll, mut message) = (0.0, 0.0);
     let newest = simulation.announced_at.len() as u64 + 1;
     while model.now < max_time {
         let now = model.now;
         for (version, at) in simulation.announced_at.iter().enumerate() {
             if now >= *at {
-                named.record_announced(version as u64 + 2, secs(now));
+                announced_versions.record_announced(version as u64 + 2, secs(now));
             }
         }
-        if let Some(version) = named.newest().filter(|_| now >= poll) {
+        if let Some(version) = announced_versions.newest().filter(|_| now >= poll) {
             model.poll(version);
             poll = now + POLL;
         }
@@ -143,7 +145,8 @@
         }
         model.load();
         (0..simulation.engines).for_each(|engine| model.step(engine));
-        let lags = model.engines.iter().filter_map(|e| named.replaced(e.served, secs(now)));
+        let lags =
+            model.engines.iter().filter_map(|e| announced_versions.replaced(e.served, secs(now)));
         outcome.lag = lags.map(|lag| lag.as_secs_f64()).fold(outcome.lag, f64::max);
         if model.engines.iter().all(|e| e.served == newest) {
             break;
@@ -196,7 +199,7 @@
             known: (0..simulation.engines).map(known).collect(),
             announcements: Announcements::default(),
             active_calls: 0,
-            call_pacer: CallLimiter::default(),
+            call_limiter: CallLimiter::default(),
             calls: Vec::new(),
             messages: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(0x10ad),
@@ -206,8 +209,8 @@
 
     /// Starts the changes that are due.
     fn poll(&mut self, version: u64) {
-        for life in rollout::next(&self.known, version, secs(self.now)) {
-            let at = self.known.iter().position(|e| e.life == life).unwrap();
+        for instance in rollout::next(&self.known, version, secs(self.now)) {
+            let at = self.known.iter().position(|e| e.life == instance).unwrap();
             self.known[at].changing = Some(version);
             let half = self.simulation.failing / 2.0;
             let draw: f64 = self.rng.random();
@@ -240,12 +243,12 @@
     fn load(&mut self) {
         let is_loading = |e: &&Engine| e.loading.is_some() && e.finishing <= 0.0;
         let loading = self.engines.iter().filter(is_loading).count();
-        let slow = (loading as f64 / (self.simulation.engines / 5).max(2) as f64).max(1.0);
+        let slowdown = (loading as f64 / (self.simulation.engines / 5).max(2) as f64).max(1.0);
         for (engine, known) in self.engines.iter_mut().zip(&mut self.known) {
             match engine.loading {
                 Some(_) if engine.finishing > STEP => engine.finishing -= STEP,
                 Some(_) if engine.finishing > 0.0 => (engine.finishing, known.work) = (0.0, 0),
-                Some(left) if left > STEP => engine.loading = Some(left - STEP / slow),
+                Some(left) if left > STEP => engine.loading = Some(left - STEP / slowdown),
                 Some(_) => {
                     engine.served = known.changing.expect("a loading engine has a version ordered");
                     engine.loading = None;
@@ -261,7 +264,7 @@
         match self.engines[at].call {
             None if self.active_calls < MAX_CONCURRENT_CALLS => {
                 self.active_calls += 1;
-                let begins = self.now + self.call_pacer.wait(LINK, secs(self.now)).as_secs_f64();
+                let begins = self.now + self.call_limiter.wait(LINK, secs(self.now)).as_secs_f64();
                 self.calls.push((begins, CALL_BYTES));
                 self.engines[at].call = Some(begins);
                 false
@@ -283,14 +286,14 @@
             Step::Order if no_order => NO_ANSWER,
             _ => CALL,
         };
-        let calls = matches!(step, Step::FirstReport | Step::Order | Step::Question);
-        if calls && !self.call_has_ended(at, time) {
+        let is_call = matches!(step, Step::FirstReport | Step::Order | Step::Question);
+        if is_call && !self.call_has_ended(at, time) {
             return;
         }
         self.engines[at].step = match step {
-            Step::FirstReport if no_report => self.end(at, false, false),
+            Step::FirstReport if no_report => self.end_attempt(at, false, false),
             Step::FirstReport => {
-                self.close(at);
+                self.announce_closed(at);
                 Step::Announced(now)
             }
             Step::Announced(since)
@@ -302,7 +305,7 @@
             Step::Delayed(until) if now >= until => Step::Order,
             Step::Order => self.ordered(at, !no_order),
             Step::Waiting(until) if now >= until => {
-                self.close(at);
+                self.announce_closed(at);
                 Step::Question
             }
             Step::Question => self.answered(at),
@@ -319,38 +322,38 @@
         }
         engine.finishing = self.simulation.finish;
         engine.loading = Some(LOAD);
-        Step::Waiting(self.now + FIRST_REPORT)
+        Step::Waiting(self.now + FIRST_QUESTION_DELAY)
     }
 
     /// Handles an engine's answer to the question whether it has changed.
     fn answered(&mut self, at: usize) -> Step {
         let engine = &mut self.engines[at];
         if Some(engine.served) == self.known[at].changing {
-            return self.end(at, true, true);
+            return self.end_attempt(at, true, true);
         }
         if engine.loading.is_none() && engine.idle >= 1 {
-            return self.end(at, false, true);
+            return self.end_attempt(at, false, true);
         }
         if engine.loading.is_none() {
             engine.idle += 1;
             return Step::Waiting(self.now + MIN_POLL_INTERVAL.as_secs_f64());
         }
-        Step::Waiting(self.now + self.pause())
+        Step::Waiting(self.now + self.question_interval())
     }
 
-    fn pause(&self) -> f64 {
+    fn question_interval(&self) -> f64 {
         let changing = self.known.iter().filter(|e| e.changing.is_some()).count();
         LINK.poll_interval(changing).as_secs_f64()
     }
 
-    fn close(&mut self, at: usize) {
+    fn announce_closed(&mut self, at: usize) {
         let version = self.known[at].changing.expect("the engine is being changed");
         let change = Change::Closed { model: "m".into(), version, span: CLOSED };
         self.announcements.put(at as u64, change, secs(self.now));
     }
 
     /// Ends an attempt; the engine had been announced as closed if `closed`.
-    fn end(&mut self, at: usize, changed: bool, closed: bool) -> Step {
+    fn end_attempt(&mut self, at: usize, changed: bool, closed: bool) -> Step {
         let (now, engine, known) = (self.now, &mut self.engines[at], &mut self.known[at]);
         known.changing = None;
         known.version = engine.served;
--- a/crates/core/tests/soundness.rs
+++ b/crates/core/tests/soundness.rs
@@ -13,7 +13,7 @@
 }
 
 /// Version 3 is announced at 6.4 s and version 4 at 10.8 s; the store is slow from 18.5 to
-/// 25 s, which answers every 0.9 s show.
+/// 25 s, as calls every 0.9 s show.
 fn store_with_slow_period() -> StoreAvailability {
     let mut store = StoreAvailability::new();
     (0..=20).for_each(|n| store.record_success(at(n * 900)));
@@ -63,7 +63,7 @@
 fn timeouts_on_hosts_suspended_together_do_not_count_as_an_outage_on_the_others() {
     let suspended = [at(0), at(100)];
     assert_eq!(outage_age(None, suspended, 8), None);
-    // Errors that the host itself had long before do not change that.
+    // An error that the host itself had long before does not change that.
     assert_eq!(outage_age(Some(at(9_000)), suspended, 8), None);
 }
 
--- a/crates/core/tests/spread_views.rs
+++ b/crates/core/tests/spread_views.rs
@@ -43,7 +43,7 @@
             let Some(slice) = datagram.slice else { continue };
             let known: HashSet<u64> = known_hosts(&mut rng, &hosts, unknown).into_iter().collect();
             for host in hosts.iter().filter(|host| slice.contains(**host) && **host != relay) {
-                // Receives it exactly from the relay of its slice if that relay knows it,
+                // A host receives the message, once, if the relay of its slice knows the host,
                 // even if the sender does not.
                 assert_eq!(known.contains(host) && received.insert(*host), known.contains(host));
             }
--- a/crates/core/tests/tenure_model.rs
+++ b/crates/core/tests/tenure_model.rs
@@ -69,7 +69,7 @@
     era: u64,
     /// When each member last joined.
     members: [Option<Duration>; HOSTS],
-    owner: Option<usize>,
+    leader: Option<usize>,
     generation: u64,
     /// Times of spontaneous reassignments.
     reassignments: Vec<Duration>,
@@ -87,8 +87,8 @@
     fn remove(&mut self, host: usize) {
         self.members[host] = None;
         self.generation += 1;
-        if self.owner == Some(host) {
-            self.owner = (0..HOSTS).find(|&h| self.members[h].is_some());
+        if self.leader == Some(host) {
+            self.leader = (0..HOSTS).find(|&h| self.members[h].is_some());
         }
     }
 
@@ -96,15 +96,15 @@
         if self.members[host].replace(now).is_none() {
             self.generation += 1;
         }
-        self.owner = self.owner.or(Some(host));
+        self.leader = self.leader.or(Some(host));
         let token = Token::new(Era(self.era), self.generation);
-        Answer { joined_at: now, assigned: self.owner == Some(host), token }
+        Answer { joined_at: now, assigned: self.leader == Some(host), token }
     }
 
     /// Restores, at `now`, the `snapshot` taken at `taken_at`.
     fn restore(&mut self, snapshot: &Self, taken_at: Duration, now: Duration, leases_ran: bool) {
         self.era += 1;
-        (self.owner, self.generation) = (snapshot.owner, snapshot.generation);
+        (self.leader, self.generation) = (snapshot.leader, snapshot.generation);
         let lease_shift = if leases_ran { Duration::ZERO } else { now - taken_at };
         self.members = snapshot.members.map(|joined| joined.map(|at| at + lease_shift));
         self.expire(now);
@@ -112,8 +112,8 @@
 
     fn reassign(&mut self, host: usize, now: Duration) {
         let recent = self.reassignments.iter().filter(|at| now < **at + TURNS).count();
-        if recent < REASSIGNMENTS && self.members[host].is_some() && self.owner != Some(host) {
-            self.owner = Some(host);
+        if recent < REASSIGNMENTS && self.members[host].is_some() && self.leader != Some(host) {
+            self.leader = Some(host);
             self.generation += 1;
             self.reassignments.push(now);
         }
@@ -272,8 +272,8 @@
     assert_eq!((first.0, last.0), (0, 1));
     assert_eq!(first.2, TURNS, "as soon as the bound on turns has passed");
     assert!(last.1 > first.1, "with a higher token");
-    let over = orders.iter().find(|o| o.0 == 1).expect("host 1 orders");
-    assert!(over.2 <= ms(6_000) + LEASE + TURNS + LEASE / 4, "taken over at {:?}", over.2);
+    let takeover = orders.iter().find(|o| o.0 == 1).expect("host 1 orders");
+    assert!(takeover.2 <= ms(6_000) + LEASE + TURNS + LEASE / 4, "taken over at {:?}", takeover.2);
 }
 
 /// A leader that is assigned leadership again before any other host can have ordered
@@ -286,8 +286,8 @@
     for at in [0, 1_000, 2_000, 3_000] {
         leader_term.on_store_answer(true, token(1), ms(at), ms(at), TURNS);
     }
-    let dealt = leader_term.on_store_answer(false, token(2), ms(3_500), ms(3_500), TURNS);
-    assert_eq!(dealt, LeadershipChange::Lost { token: token(1) });
+    let change = leader_term.on_store_answer(false, token(2), ms(3_500), ms(3_500), TURNS);
+    assert_eq!(change, LeadershipChange::Lost { token: token(1) });
     assert_eq!(leader_term.token(ms(3_500), TURNS), None);
     leader_term.on_store_answer(true, token(3), ms(4_000), ms(4_000), TURNS);
     assert_eq!(leader_term.token(ms(4_000), TURNS), Some(token(3)));
@@ -337,17 +337,17 @@
         leader_term.on_store_answer(true, token(0), ms(at), ms(at), TURNS);
     }
     let since = ms(2_500) + LEASE;
-    let dealt = leader_term.on_store_answer(true, token(1), ms(2_500), ms(2_500), TURNS);
-    assert_eq!(dealt, LeadershipChange::Gained { token: token(1), since });
+    let change = leader_term.on_store_answer(true, token(1), ms(2_500), ms(2_500), TURNS);
+    assert_eq!(change, LeadershipChange::Gained { token: token(1), since });
     leader_term.on_store_answer(true, token(1), ms(4_000), ms(4_000), TURNS);
     assert_eq!(leader_term.token(ms(4_000), TURNS), None);
     // A leader that was already able to order continues.
     for at in [5_000, 7_000, 8_500] {
         leader_term.on_store_answer(true, token(1), ms(at), ms(at), TURNS);
     }
-    let dealt = leader_term.on_store_answer(true, token(2), ms(9_000), ms(9_000), TURNS);
+    let change = leader_term.on_store_answer(true, token(2), ms(9_000), ms(9_000), TURNS);
     assert_eq!(
-        (dealt, leader_term.token(ms(9_000), TURNS)),
+        (change, leader_term.token(ms(9_000), TURNS)),
         (LeadershipChange::Unchanged, Some(token(2)))
     );
 }
--- a/crates/core/tests/weights_rollout.rs
+++ b/crates/core/tests/weights_rollout.rs
@@ -35,19 +35,19 @@
     };
     let mut all: Vec<Engine> = (0..engines).map(engine).collect();
     let mut remaining: Vec<Option<f64>> = vec![None; engines];
-    let (mut named, mut loads, mut longest) = (AnnouncedVersions::new(), 0, 0.0f64);
+    let (mut announced_versions, mut loads, mut longest) = (AnnouncedVersions::new(), 0, 0.0f64);
     let step = 0.02;
     for tick in 0..(seconds / step) as u32 {
         let now = f64::from(tick) * step;
         let clock = Duration::from_secs_f64(now);
         for (version, at) in announced_at.iter().enumerate() {
             if now >= *at {
-                named.record_announced(version as u64 + 2, clock);
+                announced_versions.record_announced(version as u64 + 2, clock);
             }
         }
-        let Some(newest) = named.newest() else { continue };
+        let Some(newest) = announced_versions.newest() else { continue };
         let loading = remaining.iter().filter(|l| l.is_some_and(|l| l <= LOAD)).count().max(1);
-        let slow = (loading as f64 / (engines / 5).max(2) as f64).max(1.0);
+        let slowdown = (loading as f64 / (engines / 5).max(2) as f64).max(1.0);
         for (e, remaining) in all.iter_mut().zip(&mut remaining) {
             match remaining {
                 Some(time) if *time <= step => {
@@ -58,17 +58,19 @@
                     *time -= step;
                     e.work = if *time > LOAD { e.work } else { 0 };
                 }
-                Some(time) => *time -= step / slow,
+                Some(time) => *time -= step / slowdown,
                 None => {}
             }
         }
-        for life in next(&all, newest, clock) {
-            let index = all.iter().position(|e| e.life == life).unwrap();
+        for instance in next(&all, newest, clock) {
+            let index = all.iter().position(|e| e.life == instance).unwrap();
             all[index].changing = Some(newest);
             remaining[index] = Some(LOAD + finish);
             loads += 1;
         }
-        let age = |e: &Engine| named.replaced(e.version, clock).unwrap_or_default().as_secs_f64();
+        let age = |e: &Engine| {
+            announced_versions.replaced(e.version, clock).unwrap_or_default().as_secs_f64()
+        };
         longest = all.iter().map(age).fold(longest, f64::max);
     }
     (longest, loads)
@@ -87,13 +89,13 @@
 fn a_restarted_host_learns_replaced_versions_from_other_hosts() {
     // To a starting host, the store lists only the newest version.
     let (start, now) = (Duration::from_secs(10), Duration::from_secs(11));
-    let mut named = AnnouncedVersions::new();
-    named.record_existing(4, start);
-    named.record_reported(4, Duration::from_millis(1_200), now);
-    named.record_reported(3, Duration::from_millis(5_600), now);
-    assert_eq!(named.replaced(2, now), Some(Duration::from_millis(5_600)));
-    assert_eq!(named.replaced(3, now), Some(Duration::from_millis(1_200)));
-    assert_eq!(named.newest(), Some(4));
+    let mut announced_versions = AnnouncedVersions::new();
+    announced_versions.record_existing(4, start);
+    announced_versions.record_reported(4, Duration::from_millis(1_200), now);
+    announced_versions.record_reported(3, Duration::from_millis(5_600), now);
+    assert_eq!(announced_versions.replaced(2, now), Some(Duration::from_millis(5_600)));
+    assert_eq!(announced_versions.replaced(3, now), Some(Duration::from_millis(1_200)));
+    assert_eq!(announced_versions.newest(), Some(4));
 }
 
 #[test]
--- a/crates/router/tests/keeper.rs
+++ b/crates/router/tests/keeper.rs
@@ -121,7 +121,7 @@
         assert_eq!(
             lease_holder(&site, &[old]).await,
             old,
-            "another router takes the lease when its holder is killed"
+            "another router takes the lease when the lease holder is killed"
         );
     });
 }
@@ -156,11 +156,11 @@
     let mut site = ready_site(1, 2, &[]);
     run(async move {
         let old = lease_holder(&site, &[0, 1]).await;
-        let asked = std::time::Instant::now();
+        let terminated_at = std::time::Instant::now();
         let mut child = site.terminate(&format!("router{old}"));
         assert_eq!(lease_holder(&site, &[1 - old]).await, 1 - old);
         // A lease that is not released expires only after 3 s plus a margin.
-        let took = asked.elapsed();
+        let took = terminated_at.elapsed();
         assert!(
             took < Duration::from_millis(2500),
             "the lease passed to the other router after {took:?}"
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -48,7 +48,7 @@
             })
             .collect();
         ntex::time::sleep(Duration::from_millis(100)).await;
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let mut response = client()
             .post(&url)
             .header("content-type", "application/json")
@@ -56,7 +56,7 @@
             .await
             .unwrap();
         assert!(
-            asked.elapsed() < Duration::from_millis(500),
+            sent_at.elapsed() < Duration::from_millis(500),
             "the refusal does not wait for the deadline"
         );
         assert_eq!(response.status().as_u16(), 503);
@@ -82,9 +82,12 @@
     let site = configured(1, &["--prefill-us", "5000"]);
     run(async move {
         let url = format!("http://{}/v1/completions", site.routers[0]);
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let (status, text) = post(&url, &request(0, 800, Some(400))).await;
-        assert!(asked.elapsed() < Duration::from_millis(2000), "the request ends at its deadline");
+        assert!(
+            sent_at.elapsed() < Duration::from_millis(2000),
+            "the request ends at its deadline"
+        );
         assert_eq!(status, 504, "{text}");
         let answer: ErrorBody = serde_json::from_str(&text).unwrap();
         assert_eq!(answer.error.step, "deadline");
