--- a/crates/core/tests/lease_model.rs
+++ b/crates/core/tests/lease_model.rs
@@ -55,7 +55,9 @@
     contender: Contender,
     clock_offset: Duration,
     rate: f64,
+    /// The answer to its read that is in transit.
     read: Option<Tail>,
+    /// Index of the append whose answer it waits for.
     waiting: Option<usize>,
 }
 
@@ -64,7 +66,7 @@
     log: Vec<Grant>,
     routers: Vec<Router>,
     appends: Vec<Append>,
-    highest: Option<Fencing>,
+    highest_token: Option<Fencing>,
 }
 
 impl World {
@@ -134,7 +136,7 @@
             log: Vec::new(),
             routers: (0..ROUTERS).map(router).collect(),
             appends: Vec::new(),
-            highest: None,
+            highest_token: None,
         }
     }
 
@@ -205,10 +207,10 @@
         assert!(holders.len() <= 1, "several lease holders at {:?}: {holders:?}", world.now);
         if let Some((router, token)) = holders.first().copied() {
             assert!(
-                Some(token) >= world.highest,
-                "router {router} holds {token} after a newer token"
+                Some(token) >= world.highest_token,
+                "router {router} has {token} after a newer token"
             );
-            world.highest = Some(token);
+            world.highest_token = Some(token);
         }
         world
     }
--- a/crates/core/tests/members_model.rs
+++ b/crates/core/tests/members_model.rs
@@ -84,12 +84,12 @@
                 let listed = table.status(&addr(b));
                 match actual {
                     Some(status) => {
-                        assert_eq!(listed, Some(status), "r{a} lists the status of r{b}")
+                        assert_eq!(listed, Some(status), "status of r{b} in the table of r{a}")
                     }
                     None => assert_eq!(
                         listed,
                         Some(Status::Down),
-                        "r{a} lists the status of the dead r{b}"
+                        "status of the dead r{b} in the table of r{a}"
                     ),
                 }
             }
--- a/crates/core/tests/overload.rs
+++ b/crates/core/tests/overload.rs
@@ -86,6 +86,7 @@
     host: usize,
     arrived: f64,
     part: Option<u64>,
+    /// Tokens besides those of the shared part.
     own: u64,
 }
 
--- a/crates/core/tests/relay_model.rs
+++ b/crates/core/tests/relay_model.rs
@@ -43,7 +43,8 @@
     readers: [(usize, usize); READERS],
     relays: Vec<(Span, Vec<u64>)>,
     position: Position,
-    era: usize,
+    /// Era of the log that the listener last read directly.
+    listener_era: usize,
     received: HashSet<u64>,
 }
 
@@ -54,9 +55,9 @@
 
     fn read(&mut self, reader: usize) {
         let (era, end) = (self.era(), self.logs[self.era()].len());
-        let (last, at) = self.readers[reader];
+        let (last_era, offset) = self.readers[reader];
         // In a new era the reader lists the log, which relays no records.
-        let from = if last == era { at } else { end };
+        let from = if last_era == era { offset } else { end };
         self.readers[reader] = (era, end);
         let span = Span { era: Era(era as u64), from: from as u64, next: end as u64 };
         self.relays.push((span, self.logs[era][from..].to_vec()));
@@ -77,9 +78,9 @@
 
     fn read_directly(&mut self) {
         let era = self.era();
-        let from = if self.era == era { self.position.at() as usize } else { 0 };
+        let from = if self.listener_era == era { self.position.at() as usize } else { 0 };
         self.received.extend(&self.logs[era][from..]);
-        self.era = era;
+        self.listener_era = era;
         let at = self.logs[era].len() as u64;
         self.position = Position::new(Era(era as u64), at, Duration::ZERO);
     }
@@ -126,7 +127,7 @@
             readers: [(0, 0); READERS],
             relays: Vec::new(),
             position: Position::new(Era(0), 0, Duration::ZERO),
-            era: 0,
+            listener_era: 0,
             received: HashSet::new(),
         }
     }
@@ -145,7 +146,7 @@
             Step::Receive(back) => world.receive(back),
             Step::ReadDirectly => world.read_directly(),
         }
-        let read = &world.logs[world.era][..world.position.at() as usize];
+        let read = &world.logs[world.listener_era][..world.position.at() as usize];
         let missed: Vec<&u64> = read.iter().filter(|r| !world.received.contains(r)).collect();
         assert!(missed.is_empty(), "{missed:?} missed before {:?}", world.position);
         world
--- a/crates/core/tests/rollout_load.rs
+++ b/crates/core/tests/rollout_load.rs
@@ -154,7 +154,7 @@
     assert!(share > 1.0 - missed * missed - 0.005, "{share} receive it");
 }
 
-/// Hosts that the first messages did not reach receive the change with a repeat.
+/// Hosts that missed the first messages receive the change when it is announced again.
 #[test]
 fn a_closed_engine_is_announced_again_within_a_second() {
     use marjoram_core::announce::{Announcements, Change};
--- a/crates/router/tests/upstreams.rs
+++ b/crates/router/tests/upstreams.rs
@@ -75,7 +75,7 @@
     let second = site.start_second_service();
     run(async move {
         let router = site.routers[0].clone();
-        let services = |count: usize| {
+        let wait_services_listed = |count: usize| {
             let router = router.clone();
             wait_for(move || {
                 let router = router.clone();
@@ -86,7 +86,7 @@
             })
         };
         put_host(&site.hosts, &host(&second, Role::Service, HostState::Live)).await;
-        services(2).await;
+        wait_services_listed(2).await;
         // The first service is killed but stays in the host list.
         site.kill("service");
         let url = format!("http://{}/v1/services/alerts", site.routers[0]);
@@ -96,7 +96,7 @@
         }
         put_host(&site.hosts, &host(&site.service, Role::Service, HostState::Leaving)).await;
         put_host(&site.hosts, &host(&second, Role::Service, HostState::Leaving)).await;
-        services(0).await;
+        wait_services_listed(0).await;
         let (status, text) = post(&url, "short shot").await;
         assert_eq!(status, 503, "a leaving service gets no calls: {text}");
         assert!(text.contains(r#""not_run":true"#), "{text}");
