--- a/crates/core/tests/feed_model.rs
+++ b/crates/core/tests/feed_model.rs
@@ -36,7 +36,7 @@
     /// The router reads at most `n` events.
     Read(usize),
     /// The router finds the engine unreachable.
-    Lose,
+    Unreachable,
 }
 
 struct World {
@@ -101,7 +101,7 @@
             1 => Just(Step::Load),
             1 => Just(Step::Restart),
             5 => (1usize..9).prop_map(Step::Read),
-            1 => Just(Step::Lose),
+            1 => Just(Step::Unreachable),
         ]
         .boxed()
     }
@@ -158,7 +158,7 @@
                 world.read(limit);
                 check(&world);
             }
-            Step::Lose => {
+            Step::Unreachable => {
                 world.cursor = None;
                 world.index.clear(SLOT);
             }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Checks that the cache index has no entry of another incarnation.
+/// Checks that the cache index has the engine's generation and no entry of another incarnation.
 fn check(world: &World) {
     assert_eq!(world.index.life(SLOT), Some(world.generation));
     for block in world.index.blocks_of(SLOT) {
--- a/crates/core/tests/poison.rs
+++ b/crates/core/tests/poison.rs
@@ -344,8 +344,8 @@
 /// Replays crashes of a site's engines by several requests in turn, each engine
 /// running at full capacity. An aborted innocent request is retried on a random engine, and
 /// its caller makes a new attempt once the sends of the attempt are used up; it completes
-/// unless that engine is one of the next two that crash. Returns what is detected and the largest number of
-/// entries kept.
+/// unless that engine is one of the next two that crash. Returns what is detected and the
+/// largest number of entries kept.
 fn replay_crashes(seed: u64, poisons: u64) -> Replayed {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut suspects = Suspects::new();
--- a/crates/core/tests/policies.rs
+++ b/crates/core/tests/policies.rs
@@ -63,7 +63,7 @@
     assert_eq!(one, Prefix::new(&text, &a, ModelVersion(1)));
 }
 
-fn ask_with(prefix: &Prefix, params: &Params) -> PolicyInput<'static> {
+fn policy_input(prefix: &Prefix, params: &Params) -> PolicyInput<'static> {
     let prefix: &'static Prefix = Box::leak(Box::new(prefix.clone()));
     let params: &'static Params = Box::leak(Box::new(*params));
     PolicyInput { prefix, params }
@@ -76,17 +76,17 @@
 #[test]
 fn prefix_aware_prefers_the_cached_engine() {
     let prefix = Prefix::new(&"w ".repeat(640), &"ws".parse().unwrap(), ModelVersion(1));
-    let ask = ask_with(&prefix, &Params::default());
+    let input = policy_input(&prefix, &Params::default());
     let candidates = [candidate(0, 1, 0), candidate(1, 1, 30), candidate(2, 0, 4)];
-    assert_eq!(Router::new().pick(PolicyName::PrefixAware, ask, &candidates), Some(1));
+    assert_eq!(Router::new().pick(PolicyName::PrefixAware, input, &candidates), Some(1));
 }
 
 #[test]
 fn prefix_aware_avoids_the_cached_engine_when_it_is_overloaded() {
     let prefix = Prefix::new(&"w ".repeat(640), &"ws".parse().unwrap(), ModelVersion(1));
-    let ask = ask_with(&prefix, &Params::default());
+    let input = policy_input(&prefix, &Params::default());
     let pick =
-        |candidates: &[Candidate]| Router::new().pick(PolicyName::PrefixAware, ask, candidates);
+        |candidates: &[Candidate]| Router::new().pick(PolicyName::PrefixAware, input, candidates);
     // Reading the prompts that wait at the cached engine takes longer than reading this one again.
     let waiting = Candidate { pending: Tokens(700), ..candidate(1, 2, 40) };
     assert_eq!(pick(&[candidate(0, 0, 0), waiting]), Some(0));
@@ -100,14 +100,14 @@
 #[test]
 fn maglev_sends_one_prefix_to_one_engine_until_it_is_overloaded() {
     let prefix = Prefix::new(&"w ".repeat(900), &"ws".parse().unwrap(), ModelVersion(1));
-    let ask = ask_with(&prefix, &Params::default());
+    let input = policy_input(&prefix, &Params::default());
     let router = Router::new();
     let idle: Vec<_> = (0..6).map(|s| candidate(s, 0, 0)).collect();
-    let first = router.pick(PolicyName::Maglev, ask, &idle).unwrap();
-    assert_eq!(router.pick(PolicyName::Maglev, ask, &idle), Some(first));
+    let first = router.pick(PolicyName::Maglev, input, &idle).unwrap();
+    assert_eq!(router.pick(PolicyName::Maglev, input, &idle), Some(first));
     let mut busy = idle.clone();
     busy[first].load = 20;
-    assert_ne!(router.pick(PolicyName::Maglev, ask, &busy), Some(first));
+    assert_ne!(router.pick(PolicyName::Maglev, input, &busy), Some(first));
 }
 
 #[test_case(PolicyName::RoundRobin)]
@@ -116,7 +116,7 @@
 #[test_case(PolicyName::PrefixAware)]
 fn every_policy_declines_when_no_engine_is_live(name: PolicyName) {
     let prefix = Prefix { blocks: vec![], tokens: Tokens(0) };
-    let ask = ask_with(&prefix, &Params::default());
-    assert_eq!(Router::new().pick(name, ask, &[]), None);
+    let input = policy_input(&prefix, &Params::default());
+    assert_eq!(Router::new().pick(name, input, &[]), None);
     assert_eq!(name.to_string().parse::<PolicyName>().unwrap(), name);
 }
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -15,28 +15,28 @@
     #[test]
     fn all_hosts_together_stay_within_the_budget(loads in proptest::collection::vec(0..120u32, 30)) {
         let mut budgets: Vec<Budget> = (0..HOSTS).map(|_| Budget::new(ALLOWANCE)).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for (second, load) in loads.iter().enumerate() {
-            let (mut received, mut repeated) = (0, 0);
+            let (mut received, mut retried) = (0, 0);
             for n in 0..*load {
                 let now = Duration::from_secs_f64(second as f64 + f64::from(n) / f64::from(*load));
                 let budget = &mut budgets[n as usize % HOSTS];
                 budget.request(now);
                 received += 1;
-                repeated += u32::from(budget.repeat(now, HOSTS));
+                retried += u32::from(budget.repeat(now, HOSTS));
             }
             requests.push(received);
-            repeats.push(repeated);
+            retries.push(retried);
         }
         for end in 10..=requests.len() {
             let sum = |of: &[u32], from: usize| f64::from(of[from..from + 10].iter().sum::<u32>());
             let previous = if end >= 20 { sum(&requests, end - 20) } else { 0.0 };
             let half_earlier = if end >= 15 { sum(&requests, end - 15) } else { 0.0 };
             let max_requests = sum(&requests, end - 10).max(previous).max(half_earlier);
-            let used = sum(&repeats, end - 10);
+            let used = sum(&retries, end - 10);
             prop_assert!(
                 used <= ALLOWANCE.ratio * max_requests + ALLOWANCE.slack,
-                "{used} of {max_requests}"
+                "{used} retries for {max_requests} requests"
             );
         }
     }
