--- a/crates/core/tests/lease_model.rs
+++ b/crates/core/tests/lease_model.rs
@@ -55,7 +55,9 @@
     contender: Contender,
     clock_offset: Duration,
     rate: f64,
+    /// The answer to its read that is in transit.
     read: Option<Tail>,
+    /// Index of the append whose answer it waits for.
     waiting: Option<usize>,
 }
 
@@ -64,7 +66,7 @@
     log: Vec<Grant>,
     routers: Vec<Router>,
     appends: Vec<Append>,
-    highest: Option<Fencing>,
+    highest_token: Option<Fencing>,
 }
 
 impl World {
@@ -134,7 +136,7 @@
             log: Vec::new(),
             routers: (0..ROUTERS).map(router).collect(),
             appends: Vec::new(),
-            highest: None,
+            highest_token: None,
         }
     }
 
@@ -202,13 +204,13 @@
         let holders: Vec<(usize, Fencing)> = (0..ROUTERS)
             .filter_map(|r| Some((r, world.routers[r].contender.token(world.clock(r))?)))
             .collect();
-        assert!(holders.len() <= 1, "held by several at {:?}: {holders:?}", world.now);
+        assert!(holders.len() <= 1, "several lease holders at {:?}: {holders:?}", world.now);
         if let Some((router, token)) = holders.first().copied() {
             assert!(
-                Some(token) >= world.highest,
-                "router {router} holds {token} after a newer token"
+                Some(token) >= world.highest_token,
+                "router {router} has {token} after a newer token"
             );
-            world.highest = Some(token);
+            world.highest_token = Some(token);
         }
         world
     }
@@ -248,6 +250,6 @@
     let held_by_a = tokens.iter().filter(|(n, _)| *n == "a").count();
     assert!(held_by_a >= 10, "a keeps the lease while it renews: {tokens:?}");
     let (last, token) = tokens.last().unwrap();
-    assert_eq!(*last, "b", "b takes over from a paused holder");
+    assert_eq!(*last, "b", "b takes over from a paused lease holder");
     assert!(*token > Fencing(0), "with a higher token");
 }
