--- a/crates/router/src/proxy/attempt.rs
+++ b/crates/router/src/proxy/attempt.rs
@@ -31,7 +31,7 @@
     pub upstream: Rc<Upstream>,
     /// The head of the answer.
     pub head: ResponseHead,
-    /// What its headers say of the send.
+    /// What its headers say about the send.
     pub mark: ResponseMetadata,
     pooled: PooledConn,
     body: Body,
--- a/crates/router/src/proxy/cachefeed.rs
+++ b/crates/router/src/proxy/cachefeed.rs
@@ -1,5 +1,5 @@
 //! Follows the cache events of engines and cache stores, to keep an index of the
-//! prompt parts that each holds.
+//! prompt parts that each has cached.
 //!
 //! An engine lets only a limited number of callers wait for events at once. Where
 //! there are more hosts than that, the first two hosts by rendezvous hashing for an
@@ -35,7 +35,8 @@
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Listeners of an engine that are left free for hosts that restart.
+/// How many of the callers that may wait for a cache's events at once are left
+/// for hosts that restart.
 const RESERVED_LISTENERS: usize = 2;
 
 /// Hosts that read the events of one cache where not all can: one of the two may
@@ -100,19 +101,19 @@
 
 /// Applies cache updates that another host has forwarded, except for caches whose
 /// events this host reads itself.
-pub fn apply_updates(site: &Site, news: &[CacheUpdate]) {
-    let engines: HashMap<u64, Rc<Upstream>> = match news.is_empty() {
+pub fn apply_updates(site: &Site, updates: &[CacheUpdate]) {
+    let engines: HashMap<u64, Rc<Upstream>> = match updates.is_empty() {
         true => return,
         false => site.fleet.all().into_iter().map(|u| (u.key, u)).collect(),
     };
-    for item in news {
-        let event = item.event();
-        match (engines.get(&item.source), site.stores.get(item.source)) {
+    for update in updates {
+        let event = update.event();
+        match (engines.get(&update.source), site.stores.get(update.source)) {
             (Some(engine), _) if !engine.followed.get() => {
-                engine.cache_index.borrow_mut().apply_remote(item.epoch, &event);
+                engine.cache_index.borrow_mut().apply_remote(update.epoch, &event);
             }
             (None, Some(store)) if !store.followed.get() => {
-                store.cache_index.borrow_mut().apply_remote(item.epoch, &event);
+                store.cache_index.borrow_mut().apply_remote(update.epoch, &event);
             }
             _ => {}
         }
@@ -123,7 +124,7 @@
 /// have been applied to `part_index` yet.
 fn forward(site: &Site, source: Source, part_index: &PartIndex, page: &Page) {
     if source.is_forwarded(site) {
-        site.news.borrow_mut().add(
+        site.cache_updates.borrow_mut().add(
             source.key,
             page.epoch,
             &part_index.large_part_events(page),
@@ -175,7 +176,7 @@
                 // The contents cannot be used while the store is unreachable.
                 store.cache_index.borrow_mut().clear();
                 if !std::mem::replace(&mut down, true) {
-                    site.news.borrow_mut().add_removed_cache(source.key, site.now());
+                    site.cache_updates.borrow_mut().add_removed_cache(source.key, site.now());
                     tracing::warn!(target: "cachefeed", %addr, why, "cache store unreachable");
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
--- a/crates/router/src/proxy/entry.rs
+++ b/crates/router/src/proxy/entry.rs
@@ -141,11 +141,11 @@
 /// The quarantine: entries in force, and those that expired recently.
 fn quarantine(site: &Site) -> Vec<serde_json::Value> {
     let wall = clock::unix_time();
-    let held = site.poison.entries().into_iter().map(|v| {
+    let entries = site.poison.entries().into_iter().map(|v| {
         serde_json::json!({ "fingerprint": v.request.to_string(), "repeats": v.repeats,
             "left_s": v.until().saturating_sub(wall).as_secs(), "upstreams": v.upstreams })
     });
-    held.collect()
+    entries.collect()
 }
 
 /// The state of the process, for operators.
--- a/crates/router/src/proxy/fleet.rs
+++ b/crates/router/src/proxy/fleet.rs
@@ -23,7 +23,7 @@
 const ASSUMED_CACHED_TTL: Duration = Duration::from_millis(400);
 const FORWARDED_ASSUMED_CACHED_TTL: Duration = Duration::from_millis(1_200);
 
-/// Number of assumed parts per engine from which expired ones are dropped.
+/// Number of assumed parts per engine at which expired ones are dropped.
 const MAX_ASSUMED_PARTS: usize = 64;
 
 /// How long another host's unreachable report counts, unless the upstream sends
@@ -33,7 +33,7 @@
 /// Outstanding requests at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent and not yet answered in full.
+    /// Requests sent and not yet answered completely.
     pub running: u32,
     /// Prompt tokens sent and not yet processed.
     pub unread: u64,
@@ -200,20 +200,20 @@
     /// with them.
     pub fn cached_tokens(&self, cache: CacheId, shared: &[Part], now: Duration) -> u64 {
         let span = self.assumed_cached_ttl();
-        let known = self.assumed_parts.borrow();
-        let read = |p: &Part| known.get(&(cache, p.id)).is_some_and(|at| now < *at + span);
-        self.cache_index.borrow().cached_tokens_assuming(cache, shared, read)
+        let assumed = self.assumed_parts.borrow();
+        let is_assumed = |p: &Part| assumed.get(&(cache, p.id)).is_some_and(|at| now < *at + span);
+        self.cache_index.borrow().cached_tokens_assuming(cache, shared, is_assumed)
     }
 
     /// Records that a prompt with the prefix path `shared` was read into `cache`
     /// at `now`.
     pub fn note_cached(&self, cache: CacheId, shared: &[Part], now: Duration) {
         let span = self.assumed_cached_ttl();
-        let mut held = self.assumed_parts.borrow_mut();
-        if held.len() >= MAX_ASSUMED_PARTS {
-            held.retain(|_, at| now < *at + span);
+        let mut assumed = self.assumed_parts.borrow_mut();
+        if assumed.len() >= MAX_ASSUMED_PARTS {
+            assumed.retain(|_, at| now < *at + span);
         }
-        held.extend(shared.iter().map(|part| ((cache, part.id), now)));
+        assumed.extend(shared.iter().map(|part| ((cache, part.id), now)));
     }
 
     fn assumed_cached_ttl(&self) -> Duration {
--- a/crates/router/src/proxy/follow.rs
+++ b/crates/router/src/proxy/follow.rs
@@ -31,7 +31,7 @@
 
 /// How long a starting host waits for the hosts' records before it takes callers;
 /// a store that is available answers within this time.
-const RECALL_TIMEOUT: Duration = Duration::from_secs(2);
+const STARTUP_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Long-poll time: how long the store is asked to wait for a new record.
 const LONG_POLL: Duration = Duration::from_secs(25);
@@ -253,15 +253,15 @@
 }
 
 /// Logs records that could not be parsed; they are skipped.
-fn log_unparsed(topic: &str, strange: &[String]) {
-    for why in strange {
+fn log_unparsed(topic: &str, unparsed: &[String]) {
+    for why in unparsed {
         tracing::error!(target: "store", topic, why, "cannot parse record; skipped");
     }
 }
 
 /// Starts reading the store.
 pub fn start(site: &Rc<Site>) {
-    ntex::rt::spawn(end_recall_wait(site.clone()));
+    ntex::rt::spawn(end_startup_wait(site.clone()));
     ntex::rt::spawn(follow(site.clone(), Operators::default()));
     ntex::rt::spawn(follow(site.clone(), Upstreams::default()));
     let written = Rc::new(Cell::new(false));
@@ -275,9 +275,9 @@
     });
 }
 
-/// Lets the host take callers after `RECALL_TIMEOUT`, also if the hosts' records
-/// have not been read by then.
-async fn end_recall_wait(site: Rc<Site>) {
-    tokio::time::sleep(RECALL_TIMEOUT).await;
+/// Lets the host take callers after [`STARTUP_READ_TIMEOUT`], also if the hosts'
+/// records have not been read by then.
+async fn end_startup_wait(site: Rc<Site>) {
+    tokio::time::sleep(STARTUP_READ_TIMEOUT).await;
     site.startup_reads_done.set(true);
 }
--- a/crates/router/src/proxy/follow/hosts.rs
+++ b/crates/router/src/proxy/follow/hosts.rs
@@ -33,7 +33,7 @@
 const RELIST_JITTER: Duration = Duration::from_millis(250);
 
 pub(super) struct Hosts {
-    /// Records seen so far in the listing in progress.
+    /// Records read so far in the listing in progress.
     listed: LatestRecords,
     /// Whether this host's record is in the store, with no write in progress.
     written: Rc<Cell<bool>>,
@@ -45,8 +45,8 @@
         Self { listed: HashMap::new(), written }
     }
 
-    /// After a complete listing, writes those of this host's records again that
-    /// it lacks.
+    /// After a complete listing, writes again those of this host's records that
+    /// are missing from it.
     fn restore(&self, site: &Rc<Site>, listed: &LatestRecords) {
         let (key, own) = own_record(site);
         let is_missing = listed.get(&key) != Some(&own);
--- a/crates/router/src/proxy/follow/operators.rs
+++ b/crates/router/src/proxy/follow/operators.rs
@@ -32,8 +32,8 @@
             return configure(site, value);
         }
         match catalog::parse_weights(&record.key, value) {
-            Some(Ok(named)) => {
-                apply_announced_weights(site, &named.model, named.version, self.listed, "store")
+            Some(Ok(weights)) => {
+                apply_announced_weights(site, &weights.model, weights.version, self.listed, "store")
             }
             Some(Err(error)) => {
                 tracing::error!(target: "config", key = record.key, %error, "cannot parse record");
@@ -76,10 +76,10 @@
 /// now, not before this process started.
 pub fn apply_announced_weights(site: &Site, model: &str, version: u64, fresh: bool, source: &str) {
     let mut all = site.announced_weights.borrow_mut();
-    let named = all.entry(model.to_string()).or_default();
+    let versions = all.entry(model.to_string()).or_default();
     let is_new = match fresh {
-        true => named.record_announced(version, site.now()),
-        false => named.record_existing(version, site.now()),
+        true => versions.record_announced(version, site.now()),
+        false => versions.record_existing(version, site.now()),
     };
     if is_new {
         tracing::info!(target: "weights", model, version, source, "new weights version announced");
--- a/crates/router/src/proxy/follow/relay.rs
+++ b/crates/router/src/proxy/follow/relay.rs
@@ -45,7 +45,7 @@
     pub fn of(site: &Site) -> Self {
         match site.peers.count() {
             hosts if hosts <= SINGLE_ROUND_HOSTS => Self::Alone,
-            _ if site.peers.has_most_capacity(site.room(), READERS) => Self::Reader,
+            _ if site.peers.has_most_capacity(site.control_capacity(), READERS) => Self::Reader,
             _ => Self::Listener,
         }
     }
--- a/crates/router/src/proxy/follow/upstreams.rs
+++ b/crates/router/src/proxy/follow/upstreams.rs
@@ -49,8 +49,8 @@
     };
     upstream_changed(site, id, &change);
     match change {
-        // An upstream that reappears unchanged is a change for other hosts that
-        // list it as missing, too.
+        // An upstream that reappears unchanged is also a change for other hosts
+        // that list it as missing.
         _ if missing => Effect::Other,
         Change::None => Effect::Unchanged,
         Change::Weights => Effect::Weights,
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -35,8 +35,8 @@
 pub const FANOUT: usize = place::SINGLE_ROUND_HOSTS - 1;
 
 /// How long a peer may be silent before it counts as gone, and, where there are
-/// many hosts, how many of its heartbeats may be missed: rarely is more than one
-/// in forty lost.
+/// many hosts, how many of its heartbeats may be missed: more than one in forty
+/// is rarely lost.
 const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(1_225);
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 
@@ -46,7 +46,7 @@
 const MISSED_BEFORE_NEW_INCARNATION: u32 = 2;
 
 /// Multiple of the allowed silence after which other hosts take over a silent
-/// host's work. A host that merely restarts is back before.
+/// host's work. A host that merely restarts is back before then.
 const GONE_FACTOR: u32 = 2;
 
 #[derive(Debug, Clone)]
@@ -56,7 +56,7 @@
     last_heartbeat: Option<Duration>,
     open: bool,
     candidate_status: CandidateStatus,
-    room: ControlCapacity,
+    control_capacity: ControlCapacity,
     store_error: Option<Duration>,
     loads: Vec<(u64, Load)>,
 }
@@ -120,7 +120,7 @@
                     last_heartbeat: None,
                     open: false,
                     candidate_status: CandidateStatus::NotMember,
-                    room: ControlCapacity::default(),
+                    control_capacity: ControlCapacity::default(),
                     store_error: None,
                     loads: Vec::new(),
                 };
@@ -141,7 +141,7 @@
         let others = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
         let other = |(name, p): (&String, &Peer)| OtherHost {
             candidate_status: p.candidate_status,
-            rank: (p.room, xxh3_64(name.as_bytes())),
+            rank: (p.control_capacity, xxh3_64(name.as_bytes())),
             errors: p.store_error.map(|at| now.saturating_sub(at)),
         };
         others.map(other).collect()
@@ -156,14 +156,15 @@
         (ages.collect(), alive.count())
     }
 
-    /// Whether this host, with capacity `room`, is among the `count` hosts with
+    /// Whether this host, with the capacity `own`, is among the `count` hosts with
     /// the most capacity, of those whose heartbeats are received.
-    pub fn has_most_capacity(&self, room: ControlCapacity, count: usize) -> bool {
+    pub fn has_most_capacity(&self, own: ControlCapacity, count: usize) -> bool {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
-        let own = (room, xxh3_64(self.name.as_bytes()));
+        let own = (own, xxh3_64(self.name.as_bytes()));
         let known = self.known.borrow();
         let alive = known.iter().filter(|(_, p)| p.is_alive(now, peer_timeout));
-        alive.filter(|(name, p)| (p.room, xxh3_64(name.as_bytes())) > own).count() < count
+        alive.filter(|(name, p)| (p.control_capacity, xxh3_64(name.as_bytes())) > own).count()
+            < count
     }
 
     /// Whether this host is among the first `count` by rendezvous hashing of
@@ -212,12 +213,12 @@
         own: Option<ControlCapacity>,
     ) -> Vec<Option<SocketAddr>> {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
-        let rank = |name: &str, room| (room, place::rank(group, xxh3_64(name.as_bytes())));
+        let rank = |name: &str, capacity| (capacity, place::rank(group, xxh3_64(name.as_bytes())));
         let known = self.known.borrow();
         let alive = known.iter().filter(|(_, p)| p.open && p.is_alive(now, peer_timeout));
         let mut ranked: Vec<_> =
-            alive.map(|(name, p)| (rank(name, p.room), Some(p.record.peers))).collect();
-        ranked.extend(own.map(|room| (rank(&self.name, room), None)));
+            alive.map(|(name, p)| (rank(name, p.control_capacity), Some(p.record.peers))).collect();
+        ranked.extend(own.map(|capacity| (rank(&self.name, capacity), None)));
         ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         ranked.into_iter().take(count).map(|(_, addr)| addr).collect()
     }
@@ -266,7 +267,7 @@
         peer.last_heartbeat = Some(now);
         peer.open = heartbeat.open;
         peer.candidate_status = heartbeat.candidate_status;
-        peer.room = heartbeat.room;
+        peer.control_capacity = heartbeat.control_capacity;
         peer.store_error =
             heartbeat.store_error.map(|ms| now.saturating_sub(Duration::from_millis(ms)));
         peer.loads = heartbeat.loads;
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -41,7 +41,7 @@
     /// quota coordinator.
     Usages(Sender, Vec<Usage>),
     /// What the receiver may admit for these workspaces. The number is the hash
-    /// of the name of the host that keeps the account.
+    /// of the name of the host that is their quota coordinator.
     Allocations(u64, Vec<Allocation>),
     /// A message that the receiver is to process and to forward to a slice of the
     /// hosts.
@@ -67,11 +67,11 @@
     /// announcement.
     pub announcement_ages: Vec<(String, u64, u64)>,
     /// What caches have recently added and evicted.
-    pub news: Vec<CacheUpdate>,
+    pub cache_updates: Vec<CacheUpdate>,
     /// Whether it is a candidate for leadership of weights rollouts.
     pub candidate_status: CandidateStatus,
     /// Its capacity for that leadership.
-    pub room: ControlCapacity,
+    pub control_capacity: ControlCapacity,
     /// Milliseconds since its last store error.
     pub store_error: Option<u64>,
     /// Requests that it recently learnt to be in quarantine.
--- a/crates/router/src/proxy/http1.rs
+++ b/crates/router/src/proxy/http1.rs
@@ -2,8 +2,8 @@
 //!
 //! Heads are parsed by `httparse`, which ntex uses as well. ntex's own client codec
 //! reads an answer without a length as empty, and its `Io` does not distinguish a
-//! reset from an orderly close, so that an answer cut off on the way would look
-//! complete. Here, each way in which a body can end is distinguished.
+//! reset from an orderly close, so that an answer cut off on the way would be
+//! taken for complete. Here, each way in which a body can end is distinguished.
 
 mod body;
 
--- a/crates/router/src/proxy/leadership.rs
+++ b/crates/router/src/proxy/leadership.rs
@@ -74,7 +74,7 @@
     unreachable_since: Option<Duration>,
 }
 
-/// This host's side of the leadership.
+/// This host's leadership term, and what it knows about the engines.
 pub struct Leadership {
     site: Rc<Site>,
     /// This host's leadership term, on the clock of [`clock::now`].
@@ -125,9 +125,9 @@
 /// orders in flight arrive before the store can assign leadership to another
 /// host.
 async fn leave(leadership: &Leadership) {
-    let held = leadership.leader_term.borrow().is_held();
+    let was_leader = leadership.leader_term.borrow().is_held();
     leadership.leader_term.borrow_mut().release();
-    if held {
+    if was_leader {
         tokio::time::sleep(ORDER_MARGIN).await;
     }
     let settings = leadership.site.settings.load_full();
@@ -138,8 +138,8 @@
 
 /// Whether any engine still has to change its weights.
 fn is_rollout_pending(site: &Site) -> bool {
-    let named = newest_weights(site);
-    engines(site).iter().any(|u| named.iter().any(|w| is_outdated(u, w)))
+    let newest = newest_weights(site);
+    engines(site).iter().any(|u| newest.iter().any(|w| is_outdated(u, w)))
 }
 
 /// Whether `upstream` serves weights older than `newest` and is not leaving.
@@ -157,14 +157,14 @@
 }
 
 impl Leadership {
-    /// Handles the store's answer to a request sent at `asked`: whether it
+    /// Handles the store's answer to a request sent at `sent_at`. `assigned`: it
     /// assigned leadership to this host.
-    fn handle_assignment(self: &Rc<Self>, held: bool, token: Token, asked: Duration) {
+    fn handle_assignment(self: &Rc<Self>, assigned: bool, token: Token, sent_at: Duration) {
         let now = clock::now();
         match self.leader_term.borrow_mut().on_store_answer(
-            held,
+            assigned,
             token,
-            asked,
+            sent_at,
             now,
             self.term_gap(),
         ) {
@@ -173,7 +173,7 @@
                 let settled_ms = now.saturating_sub(since).as_millis() as u64;
                 tracing::info!(target: "duty", token = token.number(), settled_ms,
                     "became leader of weights rollouts");
-                self.engine_states.borrow_mut().retain(|_, known| known.changing.is_some());
+                self.engine_states.borrow_mut().retain(|_, state| state.changing.is_some());
                 if !self.takeover_running.replace(true) {
                     ntex::rt::spawn(take_over(self.clone()));
                 }
@@ -209,14 +209,14 @@
 
     /// Time between two polls of an engine that is changing.
     fn poll_interval(&self) -> Duration {
-        let known = self.engine_states.borrow();
-        let changing = known.values().filter(|k| k.changing.is_some()).count();
+        let states = self.engine_states.borrow();
+        let changing = states.values().filter(|s| s.changing.is_some()).count();
         self.site.settings.load().capacity.link.poll_interval(changing)
     }
 
     /// Whether this host may send orders and has some to send. Stopping waits for
-    /// this, since the next leader first has to wait out the bound between two
-    /// leaders' orders.
+    /// this, since the next leader first has to wait for the minimum time between
+    /// two leaders' orders.
     pub fn is_busy(&self) -> bool {
         self.token().is_some() && is_rollout_pending(&self.site)
     }
@@ -241,25 +241,25 @@
 
 /// Hands leadership over if this host alone cannot reach some engines.
 fn hand_over_if_unreachable(leadership: &Leadership) {
-    let (site, mut known) = (&leadership.site, leadership.engine_states.borrow_mut());
-    let (now, named) = (site.now(), newest_weights(site));
+    let (site, mut states) = (&leadership.site, leadership.engine_states.borrow_mut());
+    let (now, newest) = (site.now(), newest_weights(site));
     let report_span = site.peers.heartbeat_round() * UNREACHABLE_REPORT_ROUNDS;
     let changing =
-        known.values().filter(|k| k.changing.is_some() && k.unreachable_since.is_none()).count();
-    let behind = |u: &Rc<Upstream>| named.iter().any(|w| is_outdated(u, w));
+        states.values().filter(|s| s.changing.is_some() && s.unreachable_since.is_none()).count();
+    let behind = |u: &Rc<Upstream>| newest.iter().any(|w| is_outdated(u, w));
     let due = engines(site).into_iter().filter(behind);
     let unreached = due.filter_map(|upstream| {
-        let known = known.get_mut(&upstream.life)?;
+        let state = states.get_mut(&upstream.life)?;
         // Engines that other hosts cannot reach either are no reason to hand
-        // over: their time starts anew.
+        // over: the time for which they count as unreachable starts anew.
         let since = if upstream.was_reported_unreachable(now, report_span) {
             now
         } else {
-            known.unreachable_since?
+            state.unreachable_since?
         };
-        known.unreachable_since = known.unreachable_since.map(|_| since);
+        state.unreachable_since = state.unreachable_since.map(|_| since);
         let used = upstream.remote_load.get().running > 0;
-        known
+        state
             .unreachable_since
             .map(|since| UnreachableEngine { tried: now.saturating_sub(since), used })
     });
@@ -282,7 +282,7 @@
                 .engine_states
                 .borrow()
                 .values()
-                .filter(|known| known.changing.is_some())
+                .filter(|state| state.changing.is_some())
                 .count();
             hand_over_if_unreachable(&leadership);
             tracing::info!(target: "duty", orders = leadership.token().is_some(), changing,
@@ -299,11 +299,11 @@
             .into_iter()
             .filter(|u| !u.entry.borrow().leaving && u.weights(&weights.model).is_some())
             .collect();
-        let known = leadership.engine_states.borrow();
+        let states = leadership.engine_states.borrow();
         let engines: Vec<rollout::Engine> = listed
             .iter()
             .map(|u| {
-                let state = known.get(&u.life).cloned().unwrap_or_default();
+                let state = states.get(&u.life).cloned().unwrap_or_default();
                 rollout::Engine {
                     life: u.life.clone(),
                     version: u.weights(&weights.model).unwrap_or_default(),
@@ -313,7 +313,7 @@
                 }
             })
             .collect();
-        drop(known);
+        drop(states);
         let due = rollout::next(&engines, weights.version, site.now());
         let due = due.iter().filter_map(|life| listed.iter().find(|u| u.life == *life));
         let due: Vec<Rc<Upstream>> = due.cloned().collect();
@@ -338,10 +338,10 @@
             };
             let closed: Vec<Rc<Upstream>> = engines(site).into_iter().filter(behind).collect();
             let ask = |u: Rc<Upstream>| ntex::rt::spawn(change::is_changing(leadership.clone(), u));
-            let asked: Vec<_> = closed.iter().map(|u| ask(u.clone())).collect();
+            let answers: Vec<_> = closed.iter().map(|u| ask(u.clone())).collect();
             let mut busy = Vec::new();
-            for (upstream, asked) in closed.into_iter().zip(asked) {
-                if asked.await.unwrap_or_default() {
+            for (upstream, answer) in closed.into_iter().zip(answers) {
+                if answer.await.unwrap_or_default() {
                     busy.push(upstream);
                 }
             }
@@ -354,9 +354,9 @@
 
 /// The newest announced weights version of each model.
 fn newest_weights(site: &Site) -> Vec<Weights> {
-    let named = site.announced_weights.borrow();
-    let newest = |(model, named): (&String, &AnnouncedVersions)| {
-        Some(Weights { model: model.clone(), version: named.newest()? })
+    let announced = site.announced_weights.borrow();
+    let newest = |(model, versions): (&String, &AnnouncedVersions)| {
+        Some(Weights { model: model.clone(), version: versions.newest()? })
     };
-    named.iter().filter_map(newest).collect()
+    announced.iter().filter_map(newest).collect()
 }
--- a/crates/router/src/proxy/leadership/change.rs
+++ b/crates/router/src/proxy/leadership/change.rs
@@ -17,8 +17,8 @@
 use crate::proxy::storeclient::HttpClient;
 
 /// Time between the announcement that an engine closes and the order to it.
-/// Requests already on their way to the engine have begun within this time; the
-/// engine refuses those that have not.
+/// Requests already on their way to the engine begin within this time; the engine
+/// refuses those that do not.
 const ORDER_DELAY: Duration = Duration::from_millis(120);
 
 /// Time after an accepted order before the engine is first polled. Its report is
@@ -55,8 +55,8 @@
     let now = leadership.site.now();
     let ms = (now - begun).as_millis() as u64;
     {
-        let mut known = leadership.engine_states.borrow_mut();
-        let state = known.entry(upstream.life.clone()).or_default();
+        let mut states = leadership.engine_states.borrow_mut();
+        let state = states.entry(upstream.life.clone()).or_default();
         state.changing = None;
         match &end {
             End::Changed => {
@@ -76,7 +76,8 @@
             }
         }
     }
-    // Hosts that were sent no announcement of the change need none of its end. An
+    // Hosts that were not sent the announcement that the engine closes need none
+    // that it is open again. An
     // engine that may still be changing stays closed for as long as was
     // announced.
     if matches!(end, End::Changed) || closed && matches!(end, End::Failed(_)) {
@@ -189,10 +190,10 @@
     let report = reports::query(client, upstream).await;
     drop(permit);
     leadership.site.traffic.call(client.take_bytes(), report.is_ok());
-    if let Some(known) = leadership.engine_states.borrow_mut().get_mut(&upstream.life) {
-        known.unreachable_since = match report {
+    if let Some(state) = leadership.engine_states.borrow_mut().get_mut(&upstream.life) {
+        state.unreachable_since = match report {
             Ok(_) => None,
-            Err(_) => known.unreachable_since.or(Some(leadership.site.now())),
+            Err(_) => state.unreachable_since.or(Some(leadership.site.now())),
         };
     }
     report
--- a/crates/router/src/proxy/leadership/membership.rs
+++ b/crates/router/src/proxy/leadership/membership.rs
@@ -41,7 +41,8 @@
 enum End {
     /// The process stops.
     Released,
-    /// The store did not confirm this host in time, though it confirmed others.
+    /// The store did not confirm this host's membership in time, though it
+    /// confirmed others.
     Lapsed,
     /// Enough hosts with more capacity are candidates.
     Unneeded,
@@ -57,7 +58,7 @@
         without_candidate: Duration::ZERO,
         round: site.peers.heartbeat_round(),
         pending: is_rollout_pending(site),
-        rank: (site.room(), xxh3_64(site.settings.load().name.as_bytes())),
+        rank: (site.control_capacity(), xxh3_64(site.settings.load().name.as_bytes())),
         errors: site.store_error.get().map(|at| now.saturating_sub(at)),
         others: site.peers.others(),
     }
@@ -87,14 +88,14 @@
 
 async fn wait_to_join(leadership: &Leadership) {
     let site = &leadership.site;
-    let mut occupied = site.now();
+    let mut last_occupied = site.now();
     loop {
         let now = site.now();
         let mut view = view(site);
         if view.candidates() > 0 {
-            occupied = now;
+            last_occupied = now;
         }
-        view.without_candidate = now - occupied;
+        view.without_candidate = now - last_occupied;
         // A leader that knows no engines yet would order nothing.
         let knows_engines = site.catalog().is_some() && site.listed.get();
         let is_informed = knows_engines && now >= STARTUP_DELAY + view.round;
@@ -109,9 +110,9 @@
     let site = &leadership.site;
     let joined = site.now();
     leadership.hand_over_requested.set(false);
-    tracing::info!(target: "duty", room = site.room().0, "became a candidate");
+    tracing::info!(target: "duty", room = site.control_capacity().0, "became a candidate");
     let mut confirmed = None;
-    // This clock counts time during which the process is suspended.
+    // This clock also counts time during which the process is suspended.
     let mut renewed = clock::now();
     let mut token = Token::default();
     let mut client = HttpClient::new(site.settings.load().store.addr);
@@ -124,8 +125,8 @@
             lease(site),
             site.now(),
         ));
-        let asked = clock::now();
-        let lapse = asked.saturating_sub(renewed);
+        let sent_at = clock::now();
+        let lapse = sent_at.saturating_sub(renewed);
         if lapse >= lease(site) && confirmed.is_some() && is_own_fault(site, lapse) {
             return End::Lapsed;
         }
@@ -142,15 +143,15 @@
                 token = assigned;
                 before = site.traffic.totals();
                 confirmed = Some(site.now());
-                renewed = asked;
-                if clock::now().saturating_sub(asked) > SLOW_ANSWER {
+                renewed = sent_at;
+                if clock::now().saturating_sub(sent_at) > SLOW_ANSWER {
                     site.note_store_error();
                 }
                 site.candidate_status.set(CandidateStatus::Candidate);
                 leadership.handle_assignment(
                     membership.parts.contains(&LEADER_PARTITION),
                     token,
-                    asked,
+                    sent_at,
                 );
             }
             Err(why) => {
--- a/crates/router/src/proxy/notices.rs
+++ b/crates/router/src/proxy/notices.rs
@@ -14,7 +14,8 @@
 use super::site::Site;
 
 /// For how long an engine is announced as closed: one lease of the leadership,
-/// and the time in which the next leader is assigned it and polls the engine.
+/// and the time in which the next leader is assigned leadership and polls the
+/// engine.
 const CLOSED_TTL: Duration = Duration::from_millis(4_500);
 
 /// Delay before a message is sent, so that changes at nearly the same time share
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -1,11 +1,12 @@
 //! Exchanges heartbeats and other messages with the other hosts.
 //!
-//! Messages are `bincode` datagrams. Each heartbeat repeats everything a moment
-//! later, so a lost one needs no retransmission, and a host that is gone costs
-//! its peers nothing. (An `h2` stream to each of eight peers would cost a
+//! Messages are `bincode` datagrams. The next heartbeat repeats everything a
+//! moment later, so a lost one needs no retransmission, and a host that is gone
+//! costs its peers nothing. (An `h2` stream to each of eight peers would cost a
 //! connection's memory and several system calls per message, and nothing here
-//! needs order or delivery.) None of this state is agreed on between hosts: a
-//! wrong view costs a caller one detour, or a request a less suitable engine.
+//! needs order or delivery.) None of this state is agreed on between hosts: an
+//! incorrect view costs a caller one detour, or sends a request to a less
+//! suitable engine.
 
 mod heartbeat;
 
@@ -85,15 +86,15 @@
 fn handle(site: &Rc<Site>, message: Message, from: SocketAddr) {
     match message {
         Message::Heartbeat(mut heartbeat) => {
-            let in_use = site.has(Mechanism::UnreachableReports);
-            let is_reported = |u: &Rc<Upstream>| in_use && heartbeat.unreachable.contains(&u.key);
+            let enabled = site.has(Mechanism::UnreachableReports);
+            let is_reported = |u: &Rc<Upstream>| enabled && heartbeat.unreachable.contains(&u.key);
             site.fleet
                 .all()
                 .iter()
                 .filter(|u| is_reported(u))
                 .for_each(|u| u.note_unreachable_report(site.now()));
             apply_announcement_ages(site, &heartbeat.announcement_ages);
-            cachefeed::apply_updates(site, &heartbeat.news);
+            cachefeed::apply_updates(site, &heartbeat.cache_updates);
             state_transfer::compare(site, from, &heartbeat.versions);
             poison::handle_quarantine_entries(site, std::mem::take(&mut heartbeat.quarantine));
             site.peers.receive_heartbeat(*heartbeat, site.now());
@@ -106,8 +107,8 @@
         Message::Crashes(reports) => poison::handle_crash_reports(site, &reports),
         Message::Quarantine(entries) => poison::handle_quarantine_entries(site, entries),
         Message::Usages(sender, usages) => quota::handle_usages(site, sender, &usages, from),
-        Message::Allocations(account, allocations) => {
-            quota::apply_allocations(site, account, &allocations)
+        Message::Allocations(coordinator, allocations) => {
+            quota::apply_allocations(site, coordinator, &allocations)
         }
         // A message is forwarded only once.
         Message::Forward(..) => {}
--- a/crates/router/src/proxy/peers/heartbeat.rs
+++ b/crates/router/src/proxy/peers/heartbeat.rs
@@ -9,7 +9,7 @@
 use crate::proxy::site::Site;
 use crate::proxy::state_transfer;
 
-/// How long hosts include the time of an announcement of weights in heartbeats.
+/// How long hosts include the age of an announcement of weights in heartbeats.
 /// An engine that was unreachable may still be on weights that were replaced long
 /// ago.
 const MAX_WEIGHTS_AGE: Duration = Duration::from_secs(600);
@@ -29,9 +29,9 @@
         open: site.is_ready(),
         loads,
         announcement_ages: recent_announcement_ages(site),
-        news: site.news.borrow_mut().recent(span, now),
+        cache_updates: site.cache_updates.borrow_mut().recent(span, now),
         candidate_status: site.candidate_status.get(),
-        room: site.room(),
+        control_capacity: site.control_capacity(),
         store_error: site.store_error.get().map(|at| now.saturating_sub(at).as_millis() as u64),
         versions: state_transfer::versions(site),
         quarantine: site.poison.newest_entries(span, now),
@@ -43,8 +43,8 @@
 /// Keys of upstreams that this host cannot reach, starting at a random one each
 /// time if there are too many.
 fn unreachable_keys(all: &[Rc<Upstream>], now: Duration) -> Vec<u64> {
-    let lost = all.iter().filter(|u| u.health.borrow().is_unreachable(now));
-    let mut keys: Vec<u64> = lost.map(|u| u.key).collect();
+    let unreachable = all.iter().filter(|u| u.health.borrow().is_unreachable(now));
+    let mut keys: Vec<u64> = unreachable.map(|u| u.key).collect();
     if keys.len() > MAX_UNREACHABLE {
         let first = rand::random_range(0..keys.len());
         keys.rotate_left(first);
@@ -55,18 +55,18 @@
 
 /// Weights versions announced so recently that their age matters.
 fn recent_announcement_ages(site: &Site) -> Vec<(String, u64, u64)> {
-    let (now, named) = (site.now(), site.announced_weights.borrow());
-    let ages = named.iter().flat_map(|(model, n)| {
-        let ages = n.ages(now, MAX_WEIGHTS_AGE).into_iter();
+    let (now, announced) = (site.now(), site.announced_weights.borrow());
+    let ages = announced.iter().flat_map(|(model, versions)| {
+        let ages = versions.ages(now, MAX_WEIGHTS_AGE).into_iter();
         ages.map(|(version, age)| (model.clone(), version, age.as_millis() as u64))
     });
     ages.collect()
 }
 
 /// Records when another host learnt of weights versions.
-pub(super) fn apply_announcement_ages(site: &Site, named: &[(String, u64, u64)]) {
+pub(super) fn apply_announcement_ages(site: &Site, ages: &[(String, u64, u64)]) {
     let mut all = site.announced_weights.borrow_mut();
-    for (model, version, age) in named {
+    for (model, version, age) in ages {
         if let Some(known) = all.get_mut(model) {
             known.record_reported(*version, Duration::from_millis(*age), site.now());
         }
--- a/crates/router/src/proxy/poison.rs
+++ b/crates/router/src/proxy/poison.rs
@@ -42,8 +42,8 @@
 };
 pub use records::{maintain_records, restore_records};
 
-/// Delay before an upstream is checked, in which this host notices all of its
-/// requests that ended with the upstream's connections.
+/// Delay before an upstream is checked, in which this host notices all of its own
+/// requests that failed when the upstream closed their connections.
 const COLLECT_TIME: Duration = Duration::from_millis(20);
 
 /// Time-out of a connect to an upstream that may have crashed.
@@ -123,7 +123,7 @@
 }
 
 /// Whether `upstream`, which has just closed connections, has crashed. One that
-/// answers no probe is assumed not to have.
+/// answers no probe is assumed not to have crashed.
 async fn has_crashed(site: &Site, upstream: &Upstream) -> bool {
     for _ in 0..MAX_PROBES {
         if let Some(crashed) = probe(site, upstream).await {
@@ -140,8 +140,8 @@
 async fn probe(site: &Site, upstream: &Upstream) -> Option<bool> {
     let addr = upstream.entry.borrow().addr;
     match Conn::connect(addr, CONNECT_TIMEOUT).await {
-        // An idle connection that is still open is to the same process, so that
-        // has not crashed.
+        // An idle connection that is still open leads to the same process, so that
+        // process has not crashed.
         Ok(_) if upstream.pool.has_open_idle(site.now()) => Some(false),
         Ok(_) => match probe_call(site, upstream) {
             Some(call) => reports::is_replaced(upstream, &call).await,
@@ -151,7 +151,7 @@
     }
 }
 
-/// The call by which a probe tells incarnations of `upstream` apart, if its
+/// The call by which a probe distinguishes incarnations of `upstream`, if its
 /// service has one: an upstream refuses a call addressed to another incarnation.
 fn probe_call(site: &Site, upstream: &Upstream) -> Option<Call> {
     let catalog = site.catalog()?;
@@ -178,11 +178,11 @@
     for report in reports {
         // Times are wall-clock times, and the clock of another host may be ahead.
         let report = CrashReport { at: report.at.min(wall), ..report.clone() };
-        let (refused, again) = {
+        let (refused, recurrence) = {
             let quarantine = poison.quarantine.borrow();
             (quarantine.refuses(report.request, wall), quarantine.recurrence(&report, wall))
         };
-        match (refused, again) {
+        match (refused, recurrence) {
             (Some(_), _) => poison.suspects.borrow_mut().explain(&[report.upstream]),
             (None, Some(entry)) => detection::publish(site, vec![entry]),
             (None, None) => poison.suspects.borrow_mut().add(&report, now),
--- a/crates/router/src/proxy/poison/detection.rs
+++ b/crates/router/src/proxy/poison/detection.rs
@@ -12,13 +12,13 @@
 use crate::proxy::hosts::Message;
 use crate::proxy::site::Site;
 
-/// Delay from the report with which a request may have reached the number of
-/// crashes for quarantine to the detection: reports of other hosts on the same
+/// Delay of the detection after a report that may complete the number of crashes
+/// for which a request is put in quarantine: reports of other hosts on the same
 /// crash arrive within [`CRASH_REPORT_WINDOW`].
 const DETECTION_DELAY: Duration = CRASH_REPORT_WINDOW.saturating_add(Duration::from_millis(5));
 
-/// How long after a reported crash bytes must arrive from an upstream to prove
-/// that it is alive: bytes that it sent before may be read late.
+/// Bytes from an upstream prove that it is alive only if they arrive more than
+/// this time after the reported crash: bytes that it sent before may be read late.
 const READ_DELAY: Duration = Duration::from_millis(100);
 
 /// Times that a new entry is sent to each host at once, besides the heartbeats,
@@ -33,11 +33,11 @@
 /// requests that were in flight at enough crashes have been decided on.
 pub(super) async fn run(site: Rc<Site>) {
     loop {
-        let called = site.poison.recheck_count.get();
+        let count = site.poison.recheck_count.get();
         tokio::time::sleep(DETECTION_DELAY).await;
         detect(&site);
         let undecided = site.poison.suspects.borrow().has_unevaluated();
-        if site.poison.recheck_count.get() == called && !undecided {
+        if site.poison.recheck_count.get() == count && !undecided {
             site.poison.detecting.set(false);
             return;
         }
--- a/crates/router/src/proxy/poison/records.rs
+++ b/crates/router/src/proxy/poison/records.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// Whether this host is among the first `count` for quarantine records.
+/// Whether this host is among the first `count` by rendezvous hashing for
+/// quarantine records.
 fn ranks_within(site: &Site, count: usize) -> bool {
     site.peers.ranks_within(xxh3_64(DETECTION.as_bytes()), count)
 }
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -60,20 +60,20 @@
     Limit { quota, tolerance: site.settings.load().bounds.quota }
 }
 
-/// Admits or refuses a request of `workspace`; the charge if it is admitted and
-/// the workspace has a quota. When only a part is admitted, a hash of the attempt's
-/// id decides, which is the same on every host.
+/// Admits or refuses a request of `workspace`. Returns the charge if it is
+/// admitted and the workspace has a quota. When only a part of the requests is
+/// admitted, a hash of the attempt's id decides, which is the same on every host.
 pub fn admit(
     site: &Site,
     workspace: &Workspace,
-    asked: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<Option<Charge>, Refusal> {
     let Some(quota) = workspace.quota else { return Ok(None) };
     if !site.startup_reads_done.get() {
         return Err(Refusal::not_run("other hosts not known yet", Duration::ZERO));
     }
-    let charge = Charge { workspace: key(workspace), cost: quota.cost(asked.tokens) };
-    let id = asked.attempt.as_deref().unwrap_or_default().as_bytes();
+    let charge = Charge { workspace: key(workspace), cost: quota.cost(metadata.tokens) };
+    let id = metadata.attempt.as_deref().unwrap_or_default().as_bytes();
     let draw = match id {
         [] => rand::random(),
         id => xxh3_64_with_seed(id, DRAW_SEED) as f64 / u64::MAX as f64,
@@ -125,7 +125,7 @@
     Sender { host: xxh3_64(site.peers.name.as_bytes()), life: site.peers.record.life }
 }
 
-/// Updates the accounts that this host keeps as a coordinator to the present.
+/// Brings the accounts that this host keeps as a coordinator up to date.
 fn advance(site: &Site, quotas: &HashMap<u64, (&Workspace, Quota)>) {
     let now = site.now();
     let hosts = site.peers.quota_hosts(RESERVATION_TIME);
@@ -175,7 +175,7 @@
                         site.peers.send_to(addr, &message);
                     }
                     None => {
-                        let allocations = account_for(site, sender(site), chunk);
+                        let allocations = apply_usages(site, sender(site), chunk);
                         apply_allocations(site, sender(site).host, &allocations);
                     }
                 }
@@ -187,7 +187,7 @@
 /// Applies the usages that the host at `from` reports, and answers with the
 /// allocations: what it may admit.
 pub fn handle_usages(site: &Site, sender: Sender, usages: &[Usage], from: SocketAddr) {
-    let allocations = account_for(site, sender, usages);
+    let allocations = apply_usages(site, sender, usages);
     if !allocations.is_empty() {
         let own = self::sender(site).host;
         site.peers.send_to(from, &Message::Allocations(own, allocations));
@@ -197,7 +197,7 @@
 /// Applies usages reported by `sender` to the accounts kept here; returns the
 /// allocations, or none while this host may not act as a coordinator. Accounts that
 /// these usages have opened are advanced at once.
-fn account_for(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Allocation> {
+fn apply_usages(site: &Site, sender: Sender, usages: &[Usage]) -> Vec<Allocation> {
     let now = site.now();
     let mut ledger = site.quotas.ledger.borrow_mut();
     usages.iter().for_each(|usage| ledger.report(sender, usage, now));
@@ -217,11 +217,11 @@
     usages.iter().filter_map(|usage| ledger.allocation(usage.workspace, sender.host)).collect()
 }
 
-/// Applies the allocations of the coordinator `account`, a hash of the host's name.
-pub fn apply_allocations(site: &Site, account: u64, allocations: &[Allocation]) {
+/// Applies the allocations of `coordinator`, a hash of that host's name.
+pub fn apply_allocations(site: &Site, coordinator: u64, allocations: &[Allocation]) {
     let now = site.now();
     let mut gate = site.quotas.gate.borrow_mut();
-    allocations.iter().for_each(|allocation| gate.apply(account, *allocation, now));
+    allocations.iter().for_each(|allocation| gate.apply(coordinator, *allocation, now));
 }
 
 /// State of the workspaces with quotas at this host, for the state dump.
@@ -231,8 +231,8 @@
     let gate = site.quotas.gate.borrow();
     let ledger = site.quotas.ledger.borrow();
     let line = |(workspace, (config, quota)): (u64, (&Workspace, Quota))| {
-        let (pass, alone) = match gate.mode(workspace, hosts, now) {
-            Some(Mode::ByRatio(pass)) => (Some(pass), None),
+        let (ratio, share) = match gate.mode(workspace, hosts, now) {
+            Some(Mode::ByRatio(ratio)) => (Some(ratio), None),
             Some(Mode::ByShare(share)) => (None, Some(share)),
             None => (None, None),
         };
@@ -242,7 +242,7 @@
                 "reserved": s.reserved })
         });
         serde_json::json!({ "workspace": config.name, "unit": quota.unit.to_string(),
-            "rate": quota.rate, "burst": quota.burst, "pass": pass, "alone": alone,
+            "rate": quota.rate, "burst": quota.burst, "pass": ratio, "alone": share,
             "admitted": totals.map(|t| t.admitted), "refused": totals.map(|t| t.refused),
             "account": account })
     };
--- a/crates/router/src/proxy/relays.rs
+++ b/crates/router/src/proxy/relays.rs
@@ -77,7 +77,7 @@
 }
 
 impl Relays {
-    /// Processes a relay received at `now`.
+    /// Queues a relay received at `now`.
     pub fn receive(&self, relay: Relay, now: Duration) {
         let asked = now.saturating_sub(Duration::from_millis(relay.age));
         let mut received = self.received.borrow_mut();
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -4,11 +4,13 @@
 //! seconds later, so an engine serves another version than any host has recorded
 //! and refuses all requests sent for the recorded one. One engine refused 700
 //! requests in 20 seconds that way, since each host guessed the new version and
-//! never asked. Or a host has not received the notice that an engine is changing
-//! its weights, and loses a request each time it tries the engine again.
+//! never queried the engine. Or a host has not received the notice that an engine
+//! is changing its weights, and loses a request each time it tries the engine
+//! again.
 //!
 //! Limits: a host sends an engine one query at a time. The query runs in a task of
-//! its own that always ends, also if the caller of the refused request leaves.
+//! its own that always ends, also if the caller of the refused request
+//! disconnects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -79,17 +81,17 @@
     query(&mut HttpClient::new(addr), upstream).await
 }
 
-/// Handles the refusal by `upstream` of a request sent for the version `asked` of
+/// Handles the refusal by `upstream` of a request sent for the version `required` of
 /// `model`: queries which version it serves, once for all requests of this host,
 /// and returns when that has been recorded.
 pub async fn handle_weights_refusal(
     site: &Rc<Site>,
     upstream: &Rc<Upstream>,
     model: &str,
-    asked: u64,
+    required: u64,
 ) {
     let Some(query) = Query::begin(upstream) else { return };
-    let recorded = Weights { model: model.to_string(), version: asked };
+    let recorded = Weights { model: model.to_string(), version: required };
     let (sender, receiver) = oneshot::channel();
     ntex::rt::spawn(resolve_weights(site.clone(), query, recorded, sender));
     // Fails only if the task has ended without a result.
@@ -106,14 +108,14 @@
     done: oneshot::Sender<()>,
 ) {
     let upstream = &query.0;
-    let (model, asked) = (&recorded.model, recorded.version);
+    let (model, required) = (&recorded.model, recorded.version);
     let reported = match site.has(Mechanism::Reports) {
         true => served(upstream, model).await,
         false => None,
     };
     let newest = site.announced_weights.borrow().get(model).and_then(|n| n.newest());
-    let version = rollout::after_refusal(asked, reported, newest);
-    tracing::info!(target: "weights", upstream = %upstream.life, asked, reported, version,
+    let version = rollout::after_refusal(required, reported, newest);
+    tracing::info!(target: "weights", upstream = %upstream.life, asked = required, reported, version,
         "upstream refused request for its weights version");
     upstream.record_report(model, version);
     // The request that waits for this may have ended.
@@ -146,13 +148,13 @@
     let upstream = &query.0;
     let begun = site.now();
     let mut pause = LAG;
-    let mut looks = 0;
+    let mut polls = 0;
     let mut closed_until = Duration::ZERO;
     let why = loop {
         closed_until = closed_until.max(site.now() + pause + ANSWER_TIMEOUT);
         upstream.closed.set(upstream.closed.get().max(Some(closed_until)));
         tokio::time::sleep(pause).await;
-        looks += 1;
+        polls += 1;
         match query_once(upstream).await {
             // The rollout leader has meanwhile sent notice that it is open.
             _ if upstream.closed.get().is_none() => break "notified open",
@@ -166,11 +168,11 @@
             Err(_) => break "no report",
         }
     };
-    // A notice of the rollout leader may have set a later time: that stays.
+    // A notice of the rollout leader may have set a later time, which is kept.
     if upstream.closed.get().is_some_and(|until| until <= closed_until) {
         upstream.closed.set(None);
     }
-    tracing::info!(target: "weights", upstream = %upstream.life, looks, why,
+    tracing::info!(target: "weights", upstream = %upstream.life, looks = polls, why,
         ms = (site.now() - begun).as_millis() as u64, "engine used again");
 }
 
--- a/crates/router/src/proxy/request.rs
+++ b/crates/router/src/proxy/request.rs
@@ -91,7 +91,8 @@
     begun: Duration,
     /// An upstream may have crashed while this request was in flight there.
     crashed: bool,
-    /// It has been held back until crashes at which it was in flight are analysed.
+    /// It has been logged that the request waits until the crashes at which it was
+    /// in flight are analysed.
     withheld: Cell<bool>,
     /// The upstream of the last send.
     pub last: Option<Instance>,
@@ -207,8 +208,9 @@
         self.check_for_crash(upstream, failure, Some(ran));
     }
 
-    /// Records that a send to `upstream` failed, `ran` after its answer had begun
-    /// (`None`: it had not), and has the upstream checked for a crash.
+    /// Records that a send to `upstream` failed, and has the upstream checked for a
+    /// crash. `ran` is how long the answer had been running, `None` if it had not
+    /// begun.
     fn check_for_crash(
         &mut self,
         upstream: &Rc<Upstream>,
@@ -271,8 +273,8 @@
         }
     }
 
-    /// Logs and counts, once, that the request waits for the analysis of crashes at
-    /// which it was in flight.
+    /// Logs and counts, once, that the request waits until the crashes at which it
+    /// was in flight are analysed.
     fn note_withheld(&self) {
         if !self.withheld.replace(true) {
             self.site.counters.count("poison.withheld");
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -31,18 +31,19 @@
 /// engine until it has been measured: 1,000 tokens then take 25 ms.
 const DEFAULT_THROUGHPUT: f64 = 40.0;
 
-/// Replaced weights get no new requests from this time before the operators'
-/// limit on their use: a request sent to an engine may queue there that long
+/// How long before the operators' limit on their use replaced weights stop
+/// getting new requests: a request sent to an engine may queue there that long
 /// before it begins, and it must begin before the limit.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// A request that has not begun on replaced weights is cancelled this time
-/// before that limit. Messages within a region take a few milliseconds, so the
+/// How long before that limit a request that has not begun on replaced weights
+/// is cancelled. Messages within a region take a few milliseconds, so the
 /// cancellation arrives in time.
 const CANCEL_MARGIN: Duration = Duration::from_millis(250);
 
-/// Fraction of the engines that small prompts prefer; large prompts prefer the
-/// others. Either kind is sent outside its partition when that scores better.
+/// Fraction of the engines that form the partition for small prompts; the other
+/// engines form the one for large prompts. A prompt is sent outside its partition
+/// when that scores better.
 const SMALL_PROMPT_SHARE: f64 = 0.3;
 
 /// Factor by which a copy between data centres is assumed to take longer than
@@ -64,15 +65,15 @@
     pub expected_wait: Duration,
     /// The only weights version that may run the request.
     pub weights: Option<u64>,
-    /// Time within which the request must begin; after it, the weights are past
-    /// the limit on their use.
+    /// Time within which the request must begin. It ends [`CANCEL_MARGIN`] before
+    /// the limit on the use of the weights.
     pub begin_within: Duration,
     /// Address from which the engine copies shared prompt parts.
     pub fetch: Option<SocketAddr>,
     /// Address of the cache store to which the engine saves shared prompt parts
     /// after it has prefilled them.
     pub save: Option<SocketAddr>,
-    /// The cache at the engine that holds the shared parts of this request.
+    /// The engine's cache for the shared parts of this request.
     pub cache: CacheId,
 }
 
@@ -84,7 +85,7 @@
     dc: DataCentre,
     /// Version of the weights that computed the cached parts.
     weights: u64,
-    /// Shared tokens of the prompt that it holds.
+    /// Shared tokens of the prompt that are cached there.
     cached: u64,
     /// Milliseconds to copy one token within a data centre.
     token_ms: f64,
@@ -125,8 +126,8 @@
 /// been announced.
 ///
 /// Engines cannot be ordered to change weights while the platform's store is
-/// unavailable. So the limit applies to one period without a store outage; the
-/// time before an outage is not added to the time after it.
+/// unavailable. So the limit applies to each period without a store outage
+/// separately: the time before an outage is not added to the time after it.
 struct ReplacedWeightsLimit {
     /// The versions announced for the model, and when.
     announced: AnnouncedVersions,
@@ -144,14 +145,14 @@
         self.announced.replaced(weights, self.now).unwrap_or_default()
     }
 
-    /// The part of that time since the last store outage.
+    /// How much of that time has passed since the last store outage.
     fn elapsed(&self, weights: u64) -> Duration {
         self.replaced_for(weights).min(self.availability.error_free_for(self.now))
     }
 
-    /// Whether `weights` may get new requests: their time is not used up now,
-    /// and was not before the last store outage either. Without the second
-    /// check, an outage would bring weights back into use.
+    /// Whether `weights` may get new requests: the time allowed for them is not
+    /// used up in the current period, and was not in an earlier one either.
+    /// Without the second check, an outage would bring weights back into use.
     fn allows(&self, weights: u64) -> bool {
         let before_outage =
             self.availability.longest_past_period(self.replaced_for(weights), self.now);
@@ -167,28 +168,30 @@
 }
 
 impl Exchange {
-    /// Selects the upstream for the next send, or says why there is none.
-    /// `resumed`: the caller already has the beginning of the answer.
+    /// Selects the upstream for the next send, or returns the refusal if there is
+    /// none. `resumed`: the caller already has the beginning of the answer.
     ///
-    /// A request that was in flight when an upstream crashed is first tried on
-    /// the few upstreams that [`poison::retry_upstreams`] assigns to it, so that it can be
-    /// told from the others that were in flight there.
+    /// A request that was in flight when an upstream crashed is first tried on the
+    /// few upstreams that [`poison::retry_upstreams`] assigns to it, so that it can
+    /// be distinguished from the others that were in flight there.
     pub(super) fn choose(&self, resumed: bool) -> Result<Chosen, Refusal> {
         let all = self.candidates();
         let separate = (self.crashed || self.site.poison.suspects(self.fingerprint))
             .then(|| self.choose_among(&self.separate_candidates(&all), resumed));
         match separate {
             Some(Ok(chosen)) => Ok(chosen),
-            // None of those can take the request: availability comes first.
+            // None of those can take the request: to have it answered matters more
+            // than to separate it.
             Some(Err(_)) | None => self.choose_among(&all, resumed),
         }
     }
 
-    /// Those of `all` assigned to this request as one that was in flight at a
-    /// crash. Other requests of that crash are mostly assigned other upstreams.
+    /// Those of `all` that are assigned to this request because it was in flight at
+    /// a crash. Other requests in flight at that crash are mostly assigned other
+    /// upstreams.
     fn separate_candidates(&self, all: &[Rc<Upstream>]) -> Vec<Rc<Upstream>> {
-        let places: Vec<u64> = all.iter().map(|u| u.address_hash).collect();
-        poison::retry_upstreams(self.fingerprint, &places)
+        let address_hashes: Vec<u64> = all.iter().map(|u| u.address_hash).collect();
+        poison::retry_upstreams(self.fingerprint, &address_hashes)
             .into_iter()
             .map(|i| all[i].clone())
             .collect()
@@ -228,8 +231,8 @@
     }
 
     /// Connections to one upstream that this host may have in use: an equal share
-    /// of the service's limit for all hosts, but at least two, also where there are
-    /// many hosts.
+    /// of the service's limit for all hosts, but at least two, however many hosts
+    /// there are.
     fn connection_share(&self) -> u32 {
         let all = self.catalog.services.get(&self.service).map_or(u32::MAX, |s| s.connections);
         (all / self.site.peers.count() as u32).max(2)
@@ -317,7 +320,7 @@
         })
     }
 
-    /// Where to try to copy shared parts that no engine or store is known to hold,
+    /// Where to try to copy shared parts that no engine or store is known to cache,
     /// if enough of them are missing: from the preferred engine of their prefix
     /// path, or, if that is the engine chosen, from the cache store to which
     /// they are saved. This host's index of their contents may be incomplete.
@@ -365,8 +368,8 @@
     /// With [`Mechanism::PreferredEngines`], engines are ranked by the prompt's prefix
     /// path, so that prompts with equal beginnings prefer the same engine; without it,
     /// by the request. With many hosts, only a few engines sampled by hashing are
-    /// compared for a request: loads known late would otherwise make all hosts
-    /// send to the same engine.
+    /// compared for a request: since loads become known late, all hosts would
+    /// otherwise send to the same engine.
     fn views(
         &self,
         prompt: &Prompt,
@@ -382,12 +385,15 @@
         let request = xxh3_64(self.id().as_bytes());
         let prefix_path =
             if has(Mechanism::PreferredEngines) { prompt.prefix_hash() } else { request };
-        let places: Vec<u64> = engines.iter().map(|u| u.address_hash).collect();
+        let address_hashes: Vec<u64> = engines.iter().map(|u| u.address_hash).collect();
         let small_share = if has(Mechanism::SizePartitions) { SMALL_PROMPT_SHARE } else { 0.0 };
-        let partition =
-            place::pool_partition(&places, small_share, prompt.input >= place::LARGE_PROMPT);
+        let partition = place::pool_partition(
+            &address_hashes,
+            small_share,
+            prompt.input >= place::LARGE_PROMPT,
+        );
         let hosts = if has(Mechanism::EngineSampling) { self.site.peers.count() } else { 1 };
-        let sampled = place::sample(request, &places, &partition, hosts);
+        let sampled = place::sample(request, &address_hashes, &partition, hosts);
         let view = |((u, in_partition), sampled): ((&&Rc<Upstream>, bool), bool)| {
             let (load, health, entry) = (u.load(), u.health.borrow(), u.entry.borrow());
             let weights = u.weights(&prompt.model).unwrap_or_default();
@@ -419,8 +425,8 @@
         self.catalog.cache_stores().filter(move |_| enabled)
     }
 
-    /// The engines and cache stores known to hold shared parts of the prompt, by
-    /// the cache updates received. They include engines that may not get the
+    /// The engines and cache stores that, by the cache updates received, cache
+    /// shared parts of the prompt. They include engines that may not get the
     /// request themselves.
     fn copy_sources(&self, prompt: &Prompt, shared: &[Part], spec: &EngineSpec) -> Vec<CopySource> {
         let tokens: u64 = shared.iter().map(|p| p.tokens).sum();
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -24,14 +24,14 @@
 /// that may be sent to another upstream.
 const TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Prompt tokens from which the time of a prefill is taken as a sample of the
-/// engine's throughput: below, the fixed time of an engine step dominates.
+/// Fewest prompt tokens of a prefill whose time is taken as a sample of the
+/// engine's throughput: with fewer, the fixed time of an engine step dominates.
 const MIN_THROUGHPUT_SAMPLE: u64 = 2_000;
 
 impl Exchange {
-    /// Name of the cache for this request at engines that serve `weights`. Prompt
-    /// parts computed by other weights are never found under it, nor those of
-    /// other workspaces if this workspace is isolated.
+    /// Name of the cache for this request at engines that serve `weights`. It
+    /// differs from the names of caches computed by other weights and, if this
+    /// workspace is isolated, from those of other workspaces.
     fn salt(&self, weights: u64) -> String {
         match self.workspace.as_ref().filter(|w| w.isolated) {
             Some(workspace) => format!("{weights}/{}", workspace.name),
@@ -111,7 +111,7 @@
         let mut sent = pin!(sent);
         let mut result = tokio::time::timeout_at(deadline, &mut sent).await;
         if result.is_err() && !self.should_abandon(chosen, site.now() - begun) {
-            // The request cannot go to another upstream: wait on for this one.
+            // The request cannot go to another upstream: keep waiting for this one.
             let end = site.at(begun + chosen.begin_within.min(self.expires.saturating_sub(begun)));
             result = tokio::time::timeout_at(end, &mut sent).await;
         }
@@ -182,11 +182,11 @@
     }
 
     /// Handles an upstream's refusal to run the request, which was sent for the
-    /// version `asked` of its weights.
+    /// version `required` of its weights.
     async fn handle_refusal(
         &mut self,
         opened: StartedAnswer,
-        asked: Option<u64>,
+        required: Option<u64>,
         now: Duration,
     ) -> Sent {
         let upstream = opened.upstream.clone();
@@ -205,16 +205,23 @@
             421 => {
                 opened.finish(now);
                 let prompt = self.request.asked.prompt.as_ref();
-                let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::NoAnswer };
+                let (Some(prompt), Some(required)) = (prompt, required) else {
+                    return Sent::NoAnswer;
+                };
                 match reported {
                     Some(version) => upstream.record_report(&prompt.model, version),
                     None => {
-                        reports::handle_weights_refusal(&self.site, &upstream, &prompt.model, asked)
-                            .await
+                        reports::handle_weights_refusal(
+                            &self.site,
+                            &upstream,
+                            &prompt.model,
+                            required,
+                        )
+                        .await
                     }
                 }
                 match upstream.weights(&prompt.model) {
-                    Some(version) if version != asked => Sent::OtherWeights,
+                    Some(version) if version != required => Sent::OtherWeights,
                     _ => Sent::NoAnswer,
                 }
             }
@@ -279,7 +286,7 @@
     flight.read();
     chosen.upstream.note_cached(chosen.cache, shared, now);
     // Only a prompt that was prefilled alone is a sample: how many tokens of
-    // others were prefilled in that time is not known exactly.
+    // other prompts were prefilled in that time is not known exactly.
     if chosen.prefill >= MIN_THROUGHPUT_SAMPLE && ahead == chosen.prefill {
         chosen.upstream.health.borrow_mut().record_prefill(ahead, now - begun);
     }
--- a/crates/router/src/proxy/run.rs
+++ b/crates/router/src/proxy/run.rs
@@ -71,8 +71,8 @@
     ntex::rt::spawn(notices::run(site.clone()));
     ntex::rt::spawn(poison::maintain_records(site.clone()));
     ntex::rt::spawn(quota::run(site.clone()));
-    let warm_listener = listen(site.peers.record.peers)?;
-    ntex::rt::spawn(state_transfer::serve(site.clone(), warm_listener));
+    let state_listener = listen(site.peers.record.peers)?;
+    ntex::rt::spawn(state_transfer::serve(site.clone(), state_listener));
     let leadership = leadership::start(&site);
     ntex::rt::spawn(watch_settings(site.clone(), path));
     wait_for_stop().await?;
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -58,10 +58,10 @@
     pub peers: Peers,
     /// Announced weights versions, by model.
     pub announced_weights: RefCell<HashMap<String, AnnouncedVersions>>,
-    /// The stores that hold prompt caches.
+    /// The cache stores.
     pub stores: Stores,
     /// Cache updates to be sent to other hosts.
-    pub news: RefCell<UpdateQueue>,
+    pub cache_updates: RefCell<UpdateQueue>,
     /// Registry changes that hosts read for each other.
     pub relays: Relays,
     /// Announcements to be sent of engines that change their weights.
@@ -121,7 +121,7 @@
             peers,
             announced_weights: RefCell::default(),
             stores: Stores::default(),
-            news: RefCell::default(),
+            cache_updates: RefCell::default(),
             relays: Relays::default(),
             notices: Notices::default(),
             poison: Poison::default(),
@@ -161,7 +161,7 @@
     }
 
     /// This host's capacity for leadership of weights rollouts.
-    pub fn room(&self) -> ControlCapacity {
+    pub fn control_capacity(&self) -> ControlCapacity {
         match self.now() < self.no_leadership_until.get() {
             true => ControlCapacity::default(),
             false => self.settings.load().capacity.room(),
--- a/crates/router/src/proxy/site/poison.rs
+++ b/crates/router/src/proxy/site/poison.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 
 /// Most quarantine entries in one heartbeat, at about 90 bytes each.
-const MAX_GREETED: usize = 32;
+const MAX_IN_HEARTBEAT: usize = 32;
 
 /// A request whose connection to the upstream broke.
 #[derive(Debug, Clone)]
@@ -87,8 +87,8 @@
 
     /// The newest entries learnt within `span` before `now`, for heartbeats.
     pub fn newest_entries(&self, span: Duration, now: Duration) -> Vec<Quarantined> {
-        let mut told = self.recent_entries.borrow_mut();
-        told.retain(|(_, at)| now < *at + span);
-        told.iter().rev().take(MAX_GREETED).map(|(entry, _)| entry.clone()).collect()
+        let mut recent = self.recent_entries.borrow_mut();
+        recent.retain(|(_, at)| now < *at + span);
+        recent.iter().rev().take(MAX_IN_HEARTBEAT).map(|(entry, _)| entry.clone()).collect()
     }
 }
--- a/crates/router/src/proxy/site/quotas.rs
+++ b/crates/router/src/proxy/site/quotas.rs
@@ -14,11 +14,11 @@
     pub gate: RefCell<Gate>,
     /// The accounts for which this host is quota coordinator.
     pub ledger: RefCell<Ledger>,
-    /// The hosts, as of the last check.
+    /// The hosts, as of the last update of the accounts.
     pub hosts: RefCell<Hosts>,
     /// Notified at the first request of a workspace.
     pub first: Notify,
-    /// Whether some requests of a workspace were refused last, by the hash of its
-    /// name.
+    /// Whether only a part of a workspace's requests was to be admitted at the last
+    /// update of the accounts, by the hash of its name.
     pub limited: RefCell<HashMap<u64, bool>>,
 }
--- a/crates/router/src/proxy/state_transfer.rs
+++ b/crates/router/src/proxy/state_transfer.rs
@@ -45,8 +45,8 @@
 /// Answers other hosts' requests for what this host knows.
 pub async fn serve(site: Rc<Site>, listener: TcpListener) {
     link::serve(listener, move |_| {
-        let named = site.announced_weights.borrow();
-        let newest = named.iter().filter_map(|(m, n)| Some((m.clone(), n.newest()?)));
+        let announced = site.announced_weights.borrow();
+        let newest = announced.iter().filter_map(|(m, v)| Some((m.clone(), v.newest()?)));
         let knowledge = Knowledge {
             catalog: site.catalog().map(|c| (*c).clone()),
             weights: newest.collect(),
--- a/crates/router/src/proxy/storelink.rs
+++ b/crates/router/src/proxy/storelink.rs
@@ -24,8 +24,8 @@
 /// The newest record of each key, from a complete list.
 pub type LatestRecords = HashMap<String, Vec<u8>>;
 
-/// State of the calls to the store for one topic: whether they work, and how long
-/// to pause before the next one.
+/// State of the calls to the store for one topic: whether the last one failed, and
+/// how long to pause after the next failure.
 pub struct CallState {
     topic: &'static str,
     down: bool,
