--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -267,7 +267,7 @@
         peer.last_heartbeat = Some(now);
         peer.open = heartbeat.open;
         peer.candidate_status = heartbeat.candidate_status;
-        peer.control_capacity = heartbeat.control_capacity;
+        peer.control_capacity = heartbeat.room;
         peer.store_error =
             heartbeat.store_error.map(|ms| now.saturating_sub(Duration::from_millis(ms)));
         peer.loads = heartbeat.loads;
--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -67,11 +67,11 @@
     /// announcement.
     pub announcement_ages: Vec<(String, u64, u64)>,
     /// What caches have recently added and evicted.
-    pub cache_updates: Vec<CacheUpdate>,
+    pub news: Vec<CacheUpdate>,
     /// Whether it is a candidate for leadership of weights rollouts.
     pub candidate_status: CandidateStatus,
     /// Its capacity for that leadership.
-    pub control_capacity: ControlCapacity,
+    pub room: ControlCapacity,
     /// Milliseconds since its last store error.
     pub store_error: Option<u64>,
     /// Requests that it recently learnt to be in quarantine.
--- a/crates/router/src/proxy/peers.rs
+++ b/crates/router/src/proxy/peers.rs
@@ -94,7 +94,7 @@
                 .filter(|u| is_reported(u))
                 .for_each(|u| u.note_unreachable_report(site.now()));
             apply_announcement_ages(site, &heartbeat.announcement_ages);
-            cachefeed::apply_updates(site, &heartbeat.cache_updates);
+            cachefeed::apply_updates(site, &heartbeat.news);
             state_transfer::compare(site, from, &heartbeat.versions);
             poison::handle_quarantine_entries(site, std::mem::take(&mut heartbeat.quarantine));
             site.peers.receive_heartbeat(*heartbeat, site.now());
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -81,17 +81,17 @@
     query(&mut HttpClient::new(addr), upstream).await
 }
 
-/// Handles the refusal by `upstream` of a request sent for the version `required` of
+/// Handles the refusal by `upstream` of a request sent for the version `asked` of
 /// `model`: queries which version it serves, once for all requests of this host,
 /// and returns when that has been recorded.
 pub async fn handle_weights_refusal(
     site: &Rc<Site>,
     upstream: &Rc<Upstream>,
     model: &str,
-    required: u64,
+    asked: u64,
 ) {
     let Some(query) = Query::begin(upstream) else { return };
-    let recorded = Weights { model: model.to_string(), version: required };
+    let recorded = Weights { model: model.to_string(), version: asked };
     let (sender, receiver) = oneshot::channel();
     ntex::rt::spawn(resolve_weights(site.clone(), query, recorded, sender));
     // Fails only if the task has ended without a result.
@@ -108,14 +108,14 @@
     done: oneshot::Sender<()>,
 ) {
     let upstream = &query.0;
-    let (model, required) = (&recorded.model, recorded.version);
+    let (model, asked) = (&recorded.model, recorded.version);
     let reported = match site.has(Mechanism::Reports) {
         true => served(upstream, model).await,
         false => None,
     };
     let newest = site.announced_weights.borrow().get(model).and_then(|n| n.newest());
-    let version = rollout::after_refusal(required, reported, newest);
-    tracing::info!(target: "weights", upstream = %upstream.life, asked = required, reported, version,
+    let version = rollout::after_refusal(asked, reported, newest);
+    tracing::info!(target: "weights", upstream = %upstream.life, asked, reported, version,
         "upstream refused request for its weights version");
     upstream.record_report(model, version);
     // The request that waits for this may have ended.
@@ -148,13 +148,13 @@
     let upstream = &query.0;
     let begun = site.now();
     let mut pause = LAG;
-    let mut polls = 0;
+    let mut looks = 0;
     let mut closed_until = Duration::ZERO;
     let why = loop {
         closed_until = closed_until.max(site.now() + pause + ANSWER_TIMEOUT);
         upstream.closed.set(upstream.closed.get().max(Some(closed_until)));
         tokio::time::sleep(pause).await;
-        polls += 1;
+        looks += 1;
         match query_once(upstream).await {
             // The rollout leader has meanwhile sent notice that it is open.
             _ if upstream.closed.get().is_none() => break "notified open",
@@ -172,7 +172,7 @@
     if upstream.closed.get().is_some_and(|until| until <= closed_until) {
         upstream.closed.set(None);
     }
-    tracing::info!(target: "weights", upstream = %upstream.life, looks = polls, why,
+    tracing::info!(target: "weights", upstream = %upstream.life, looks, why,
         ms = (site.now() - begun).as_millis() as u64, "engine used again");
 }
 
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -182,11 +182,11 @@
     }
 
     /// Handles an upstream's refusal to run the request, which was sent for the
-    /// version `required` of its weights.
+    /// version `asked` of its weights.
     async fn handle_refusal(
         &mut self,
         opened: StartedAnswer,
-        required: Option<u64>,
+        asked: Option<u64>,
         now: Duration,
     ) -> Sent {
         let upstream = opened.upstream.clone();
@@ -205,23 +205,16 @@
             421 => {
                 opened.finish(now);
                 let prompt = self.request.asked.prompt.as_ref();
-                let (Some(prompt), Some(required)) = (prompt, required) else {
-                    return Sent::NoAnswer;
-                };
+                let (Some(prompt), Some(asked)) = (prompt, asked) else { return Sent::NoAnswer };
                 match reported {
                     Some(version) => upstream.record_report(&prompt.model, version),
                     None => {
-                        reports::handle_weights_refusal(
-                            &self.site,
-                            &upstream,
-                            &prompt.model,
-                            required,
-                        )
-                        .await
+                        reports::handle_weights_refusal(&self.site, &upstream, &prompt.model, asked)
+                            .await
                     }
                 }
                 match upstream.weights(&prompt.model) {
-                    Some(version) if version != required => Sent::OtherWeights,
+                    Some(version) if version != asked => Sent::OtherWeights,
                     _ => Sent::NoAnswer,
                 }
             }
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -58,7 +58,7 @@
     pub peers: Peers,
     /// Announced weights versions, by model.
     pub announced_weights: RefCell<HashMap<String, AnnouncedVersions>>,
-    /// The cache stores.
+    /// The cache stores, and this host's index of their contents.
     pub stores: Stores,
     /// Cache updates to be sent to other hosts.
     pub cache_updates: RefCell<UpdateQueue>,
