--- a/crates/router/src/proxy/leadership.rs
+++ b/crates/router/src/proxy/leadership.rs
@@ -157,8 +157,8 @@
 }
 
 impl Leadership {
-    /// Handles the store's answer to a request sent at `sent_at`. `assigned`: it
-    /// assigned leadership to this host.
+    /// Handles the store's answer to a request sent at `sent_at`. `assigned`: whether
+    /// the answer assigned leadership to this host.
     fn handle_assignment(self: &Rc<Self>, assigned: bool, token: Token, sent_at: Duration) {
         let now = clock::now();
         match self.leader_term.borrow_mut().on_store_answer(
--- a/crates/router/src/proxy/leadership/change.rs
+++ b/crates/router/src/proxy/leadership/change.rs
@@ -77,9 +77,8 @@
         }
     }
     // Hosts that were not sent the announcement that the engine closes need none
-    // that it is open again. An
-    // engine that may still be changing stays closed for as long as was
-    // announced.
+    // that it is open again. An engine that may still be changing stays closed for
+    // as long as was announced.
     if matches!(end, End::Changed) || closed && matches!(end, End::Failed(_)) {
         let served = upstream.weights(&weights.model).unwrap_or_default();
         notices::open(&leadership.site, &upstream, &Weights { version: served, ..weights });
--- a/crates/router/src/proxy/request/choose.rs
+++ b/crates/router/src/proxy/request/choose.rs
@@ -31,13 +31,13 @@
 /// engine until it has been measured: 1,000 tokens then take 25 ms.
 const DEFAULT_THROUGHPUT: f64 = 40.0;
 
-/// How long before the operators' limit on their use replaced weights stop
-/// getting new requests: a request sent to an engine may queue there that long
+/// Replaced weights stop getting new requests this long before the operators'
+/// limit on their use: a request sent to an engine may queue there that long
 /// before it begins, and it must begin before the limit.
 const WEIGHTS_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// How long before that limit a request that has not begun on replaced weights
-/// is cancelled. Messages within a region take a few milliseconds, so the
+/// A request that has not begun on replaced weights is cancelled this long before
+/// that limit. Messages within a region take a few milliseconds, so the
 /// cancellation arrives in time.
 const CANCEL_MARGIN: Duration = Duration::from_millis(250);
 
@@ -180,8 +180,8 @@
             .then(|| self.choose_among(&self.separate_candidates(&all), resumed));
         match separate {
             Some(Ok(chosen)) => Ok(chosen),
-            // None of those can take the request: to have it answered matters more
-            // than to separate it.
+            // None of those can take the request: serving it comes before separating
+            // it from others.
             Some(Err(_)) | None => self.choose_among(&all, resumed),
         }
     }
@@ -320,10 +320,10 @@
         })
     }
 
-    /// Where to try to copy shared parts that no engine or store is known to cache,
-    /// if enough of them are missing: from the preferred engine of their prefix
-    /// path, or, if that is the engine chosen, from the cache store to which
-    /// they are saved. This host's index of their contents may be incomplete.
+    /// Where to try to copy shared parts that no engine or store is known to have
+    /// cached, if enough of them are missing: from the preferred engine of their
+    /// prefix path, or, if that is the engine chosen, from the cache store to which
+    /// they are saved. This host's index of the caches' contents may be incomplete.
     fn likely_source(
         &self,
         prompt: &Prompt,
@@ -425,8 +425,8 @@
         self.catalog.cache_stores().filter(move |_| enabled)
     }
 
-    /// The engines and cache stores that, by the cache updates received, cache
-    /// shared parts of the prompt. They include engines that may not get the
+    /// The engines and cache stores known to have cached shared parts of the prompt,
+    /// by the cache updates received. They include engines that may not get the
     /// request themselves.
     fn copy_sources(&self, prompt: &Prompt, shared: &[Part], spec: &EngineSpec) -> Vec<CopySource> {
         let tokens: u64 = shared.iter().map(|p| p.tokens).sum();
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -30,7 +30,7 @@
 
 impl Exchange {
     /// Name of the cache for this request at engines that serve `weights`. It
-    /// differs from the names of caches computed by other weights and, if this
+    /// differs from the names of the caches for other weights and, if this
     /// workspace is isolated, from those of other workspaces.
     fn salt(&self, weights: u64) -> String {
         match self.workspace.as_ref().filter(|w| w.isolated) {
