--- a/crates/router/src/proxy/hosts/message.rs
+++ b/crates/router/src/proxy/hosts/message.rs
@@ -41,7 +41,7 @@
     /// quota coordinator.
     Usages(Sender, Vec<Usage>),
     /// What the receiver may admit for these workspaces. The number is the hash
-    /// of the name of the host that keeps the account.
+    /// of the name of the host that is their quota coordinator.
     Allocations(u64, Vec<Allocation>),
     /// A message that the receiver is to process and to forward to a slice of the
     /// hosts.
--- a/crates/router/src/proxy/reports.rs
+++ b/crates/router/src/proxy/reports.rs
@@ -4,11 +4,13 @@
 //! seconds later, so an engine serves another version than any host has recorded
 //! and refuses all requests sent for the recorded one. One engine refused 700
 //! requests in 20 seconds that way, since each host guessed the new version and
-//! never asked. Or a host has not received the notice that an engine is changing
-//! its weights, and loses a request each time it tries the engine again.
+//! never queried the engine. Or a host has not received the notice that an engine
+//! is changing its weights, and loses a request each time it tries the engine
+//! again.
 //!
 //! Limits: a host sends an engine one query at a time. The query runs in a task of
-//! its own that always ends, also if the caller of the refused request leaves.
+//! its own that always ends, also if the caller of the refused request
+//! disconnects.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -166,7 +168,7 @@
             Err(_) => break "no report",
         }
     };
-    // A notice of the rollout leader may have set a later time: that stays.
+    // A notice of the rollout leader may have set a later time, which is kept.
     if upstream.closed.get().is_some_and(|until| until <= closed_until) {
         upstream.closed.set(None);
     }
--- a/crates/router/src/proxy/request/send.rs
+++ b/crates/router/src/proxy/request/send.rs
@@ -24,14 +24,14 @@
 /// that may be sent to another upstream.
 const TIMEOUT_FACTOR: f64 = 3.0;
 
-/// Prompt tokens from which the time of a prefill is taken as a sample of the
-/// engine's throughput: below, the fixed time of an engine step dominates.
+/// Fewest prompt tokens of a prefill whose time is taken as a sample of the
+/// engine's throughput: with fewer, the fixed time of an engine step dominates.
 const MIN_THROUGHPUT_SAMPLE: u64 = 2_000;
 
 impl Exchange {
-    /// Name of the cache for this request at engines that serve `weights`. Prompt
-    /// parts computed by other weights are never found under it, nor those of
-    /// other workspaces if this workspace is isolated.
+    /// Name of the cache for this request at engines that serve `weights`. It
+    /// differs from the names of the caches for other weights and, if this
+    /// workspace is isolated, from those of other workspaces.
     fn salt(&self, weights: u64) -> String {
         match self.workspace.as_ref().filter(|w| w.isolated) {
             Some(workspace) => format!("{weights}/{}", workspace.name),
@@ -111,7 +111,7 @@
         let mut sent = pin!(sent);
         let mut result = tokio::time::timeout_at(deadline, &mut sent).await;
         if result.is_err() && !self.should_abandon(chosen, site.now() - begun) {
-            // The request cannot go to another upstream: wait on for this one.
+            // The request cannot go to another upstream: keep waiting for this one.
             let end = site.at(begun + chosen.begin_within.min(self.expires.saturating_sub(begun)));
             result = tokio::time::timeout_at(end, &mut sent).await;
         }
@@ -279,7 +279,7 @@
     flight.read();
     chosen.upstream.note_cached(chosen.cache, shared, now);
     // Only a prompt that was prefilled alone is a sample: how many tokens of
-    // others were prefilled in that time is not known exactly.
+    // other prompts were prefilled in that time is not known exactly.
     if chosen.prefill >= MIN_THROUGHPUT_SAMPLE && ahead == chosen.prefill {
         chosen.upstream.health.borrow_mut().record_prefill(ahead, now - begun);
     }
