--- a/crates/core/src/announce.rs
+++ b/crates/core/src/announce.rs
@@ -85,15 +85,15 @@
 /// use marjoram_core::announce::{Announcements, Change};
 /// let ms = Duration::from_millis;
 /// let closed = Change::Closed { model: "m".into(), version: 2, span: ms(4_500) };
-/// let mut told = Announcements::default();
-/// told.put(7, closed, ms(0));
-/// assert_eq!(told.next(ms(0)).len(), 1);
+/// let mut announcements = Announcements::default();
+/// announcements.put(7, closed, ms(0));
+/// assert_eq!(announcements.next(ms(0)).len(), 1);
 /// // Sent twice, then again a second later.
-/// assert_eq!(told.next(ms(100)).len(), 1);
-/// assert_eq!(told.next(ms(200)).len(), 0);
-/// assert_eq!(told.due(), Some(ms(1_100)));
-/// told.put(7, Change::Open { model: "m".into(), version: 2 }, ms(300));
-/// assert!(matches!(told.next(ms(300))[..], [(7, Change::Open { .. })]));
+/// assert_eq!(announcements.next(ms(100)).len(), 1);
+/// assert_eq!(announcements.next(ms(200)).len(), 0);
+/// assert_eq!(announcements.due(), Some(ms(1_100)));
+/// announcements.put(7, Change::Open { model: "m".into(), version: 2 }, ms(300));
+/// assert!(matches!(announcements.next(ms(300))[..], [(7, Change::Open { .. })]));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Announcements {
--- a/crates/core/src/broadcast.rs
+++ b/crates/core/src/broadcast.rs
@@ -5,13 +5,13 @@
 //! leave one host within seconds and saturate its link, and its calls to the
 //! platform's store time out along with everything else.
 //!
-//! Limits: with more than [`MAX_DIRECT_HOSTS`] hosts, a message is sent to as many relays
-//! as the square root of their number, and each relay forwards it to its slice
-//! of the hosts, so no host sends more than [`fan_out`] datagrams for a message.
-//! A slice is described by a seed rather than by its members: when sender and
-//! relay know different sets of hosts, only hosts that the relay does not know
-//! are missed. The slices are drawn again for each message, so a host whose
-//! relay is down receives the next one.
+//! Limits: with more than [`MAX_DIRECT_HOSTS`] hosts, a message is sent to as
+//! many relays as the square root of their number, and each relay forwards it to
+//! its slice of the hosts, so no host sends more than [`fan_out`] datagrams for a
+//! message. A slice is described by a seed rather than by its members: when
+//! sender and relay know different sets of hosts, only hosts that the relay does
+//! not know are not sent the message. The slices are drawn again for each
+//! message, so a host whose relay is down receives the next one.
 
 use serde::{Deserialize, Serialize};
 
@@ -88,10 +88,10 @@
 /// let hosts: Vec<Host> = (0..294).map(|name| Host { name, alive: name % 3 > 0 }).collect();
 /// let datagrams = plan(&hosts, 7);
 /// assert!(datagrams.len() <= fan_out(hosts.len()));
-/// // The relays and the hosts they forward to are all hosts.
-/// let told =
+/// // Each host is in the slice of a relay.
+/// let receives =
 ///     |host: &Host| datagrams.iter().any(|d| d.slice.unwrap().contains(host.name));
-/// assert!(hosts.iter().all(told));
+/// assert!(hosts.iter().all(receives));
 /// assert!(datagrams.iter().all(|datagram| hosts[datagram.to].alive));
 /// ```
 pub fn plan(hosts: &[Host], seed: u64) -> Vec<Datagram> {
--- a/crates/core/src/cache.rs
+++ b/crates/core/src/cache.rs
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Records that `slot` has cached `blocks`, as reported under `life`.
+    /// Records that `slot` has cached `blocks`, as reported for `generation`.
     ///
-    /// A `life` other than the slot's current one clears the slot first.
-    pub fn stored(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
-        self.begin(slot, life);
+    /// A `generation` other than the slot's current one clears the slot first.
+    pub fn stored(&self, slot: Slot, generation: CacheGeneration, blocks: &[BlockHash]) {
+        self.begin(slot, generation);
         for block in blocks {
             let mut shard = self.shard(*block).write().unwrap();
             *shard.entry(block.0).or_insert(0) |= slot.bit();
@@ -103,9 +103,9 @@
     }
 
     /// Records that `slot` will have cached `blocks` once it has computed a prompt
-    /// that the router sent it; ignored unless `life` is the slot's current one.
-    pub fn predicted(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
-        if self.life(slot) != Some(life) {
+    /// that the router sent it; ignored unless `generation` is the slot's current one.
+    pub fn predicted(&self, slot: Slot, generation: CacheGeneration, blocks: &[BlockHash]) {
+        if self.life(slot) != Some(generation) {
             return;
         }
         for block in blocks {
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Records that `slot` evicted `blocks`; ignored unless `life` is the slot's
+    /// Records that `slot` evicted `blocks`; ignored unless `generation` is the slot's
     /// current one.
-    pub fn removed(&self, slot: Slot, life: CacheGeneration, blocks: &[BlockHash]) {
-        if self.life(slot) != Some(life) {
+    pub fn removed(&self, slot: Slot, generation: CacheGeneration, blocks: &[BlockHash]) {
+        if self.life(slot) != Some(generation) {
             return;
         }
         for block in blocks {
@@ -151,8 +151,8 @@
         let mut matching = candidates.iter().fold(0u64, |mask, slot| mask | slot.bit());
         let mut depth = [0u32; MAX_SLOTS];
         for (index, block) in blocks.iter().enumerate() {
-            let held = self.shard(*block).read().unwrap().get(&block.0).copied().unwrap_or(0);
-            matching &= held;
+            let slots = self.shard(*block).read().unwrap().get(&block.0).copied().unwrap_or(0);
+            matching &= slots;
             if matching == 0 {
                 break;
             }
@@ -171,8 +171,8 @@
         let mut blocks = Vec::new();
         for shard in &self.shards {
             let shard = shard.read().unwrap();
-            let held = shard.iter().filter(|(_, mask)| *mask & slot.bit() != 0);
-            blocks.extend(held.map(|(block, _)| BlockHash(*block)));
+            let cached = shard.iter().filter(|(_, mask)| *mask & slot.bit() != 0);
+            blocks.extend(cached.map(|(block, _)| BlockHash(*block)));
         }
         blocks
     }
@@ -189,15 +189,15 @@
         Counts { entries, clears: self.clears.load(std::sync::atomic::Ordering::Relaxed) }
     }
 
-    /// Assigns `slot` to `life`, and clears the entries of any other one.
-    pub fn begin(&self, slot: Slot, life: CacheGeneration) {
-        if self.life(slot) == Some(life) {
+    /// Assigns `slot` to `generation`, and clears its entries of any other generation.
+    pub fn begin(&self, slot: Slot, generation: CacheGeneration) {
+        if self.life(slot) == Some(generation) {
             return;
         }
         let stale = {
             let mut generations = self.generations.write().unwrap();
             let stale = generations[usize::from(slot.0)].is_some();
-            generations[usize::from(slot.0)] = Some(life);
+            generations[usize::from(slot.0)] = Some(generation);
             stale
         };
         if stale {
--- a/crates/core/src/cache_updates.rs
+++ b/crates/core/src/cache_updates.rs
@@ -15,10 +15,10 @@
 use crate::exchange::PartId;
 use crate::part_index::{CacheId, Event};
 
-/// Maximum number of events in one heartbeat: they fill a third of a packet.
+/// Maximum number of updates in one heartbeat: they fill a third of a packet.
 const MAX_EVENTS: usize = 16;
 
-/// Maximum number of queued events: after a burst the oldest are dropped.
+/// Maximum number of queued updates: after a burst the oldest are dropped.
 const MAX_QUEUED: usize = 256;
 
 /// Epoch that marks a cache which no longer exists.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Queue of the events to send.
+/// Queue of the cache updates to send.
 ///
 /// ```
 /// use std::time::Duration;
@@ -65,8 +65,8 @@
 /// let mut update_queue = UpdateQueue::new();
 /// let now = Duration::from_secs(1);
 /// update_queue.add(5, 1, &[event], now);
-/// let told = update_queue.recent(Duration::from_millis(800), now);
-/// assert_eq!((told[0].source, told[0].event()), (5, event));
+/// let updates = update_queue.recent(Duration::from_millis(800), now);
+/// assert_eq!((updates[0].source, updates[0].event()), (5, event));
 /// assert!(update_queue.recent(Duration::from_millis(800), now * 2).is_empty());
 /// ```
 #[derive(Debug, Default)]
@@ -94,15 +94,15 @@
         self.queued.drain(..excess);
     }
 
-    /// Adds an update that the cache `source` no longer existed at `now`. It carries
-    /// another epoch, so receivers drop all they know of the cache.
+    /// Adds an update which reports that the cache `source` no longer existed at
+    /// `now`. It carries another epoch, so receivers drop all entries of the cache.
     pub fn add_removed_cache(&mut self, source: u64, now: Duration) {
         let placeholder = Event { number: 0, cache: CacheId(0), part: PartId(0), tokens: 0 };
         self.add(source, NO_EPOCH, &[placeholder], now);
     }
 
-    /// The events that were read within `span` before `now`, the newest first, as
-    /// many as fit into a heartbeat.
+    /// The updates whose events were read within `span` before `now`, the newest
+    /// first, as many as fit into a heartbeat.
     pub fn recent(&mut self, span: Duration, now: Duration) -> Vec<CacheUpdate> {
         while self.queued.front().is_some_and(|(at, _)| *at + span < now) {
             self.queued.pop_front();
--- a/crates/core/src/candidacy.rs
+++ b/crates/core/src/candidacy.rs
@@ -10,7 +10,7 @@
 //! candidates, called the preferred ones here. A member that joins or leaves may
 //! move leadership, so none does while engines are due to change and there are
 //! other candidates. A host cools down, with no capacity, if it lost its
-//! membership while others saw no store errors, or if it cannot reach engines
+//! membership while others had no store errors, or if it cannot reach engines
 //! that others reach. Hosts that are not preferred become candidates only once
 //! there has been no other candidate for a while, and leave the group again.
 
@@ -25,32 +25,30 @@
 
 /// With at least this number of other candidates, a preferred host does not join
 /// while engines are due to change. With fewer, it joins once it has been up for
-/// this time in seconds.
+/// this time.
 const MIN_CANDIDATES: usize = 3;
 const MIN_UPTIME: Duration = Duration::from_secs(30);
 
 /// How long there must have been no candidate before hosts that are not preferred
-/// join: this time in seconds plus two rounds of heartbeats.
+/// join: this time plus two rounds of heartbeats.
 const NO_CANDIDATE_FOR: Duration = Duration::from_secs(1);
 const NO_CANDIDATE_ROUNDS: u32 = 2;
 
-/// How long a host that is not preferred must have seen no store errors before it
-/// joins, in seconds: while the store is down, no host can be a candidate.
+/// How long a host that is not preferred must have had no store errors before it
+/// joins: while the store is down, no host can be a candidate.
 const ERROR_FREE: Duration = Duration::from_secs(3);
 
-/// Fraction of the members (one in so many) that see store errors if the store
-/// itself fails, and not the link of one host.
+/// If at least one in this many members had store errors, the store itself failed
+/// and not the link of one host.
 const OUTAGE_SHARE: usize = 3;
 
-/// How long reports of store errors may take to arrive from other hosts, in
-/// seconds.
+/// How long reports of store errors may take to arrive from other hosts.
 const ERROR_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// How long a host cools down, in seconds.
+/// How long a host cools down.
 pub const COOL_DOWN: Duration = Duration::from_secs(30);
 
-/// How long the leader may fail to reach an engine before it hands over, in
-/// seconds.
+/// How long the leader may fail to reach an engine before it hands over.
 const OUT_OF_REACH: Duration = Duration::from_secs(3);
 
 /// A host's capacity for control work such as leading rollouts: the smaller of its
@@ -82,7 +80,7 @@
     pub candidate_status: CandidateStatus,
     /// Its rank.
     pub rank: Rank,
-    /// How long ago it last saw a store error.
+    /// How long ago it last had a store error.
     pub errors: Option<Duration>,
 }
 
@@ -99,7 +97,7 @@
     pub pending: bool,
     /// Its rank; with no capacity while it cools down.
     pub rank: Rank,
-    /// How long ago it last saw a store error.
+    /// How long ago it last had a store error.
     pub errors: Option<Duration>,
     /// The other hosts that accept requests.
     pub others: Vec<OtherHost>,
@@ -124,9 +122,9 @@
     /// use marjoram_core::candidacy::{OtherHost, ControlCapacity, View};
     /// use marjoram_core::leadership::CandidateStatus;
     /// let secs = Duration::from_secs;
-    /// let other = |room| OtherHost {
+    /// let other = |capacity| OtherHost {
     ///     candidate_status: CandidateStatus::Candidate,
-    ///     rank: (ControlCapacity(room), 1),
+    ///     rank: (ControlCapacity(capacity), 1),
     ///     errors: None,
     /// };
     /// let mut view = View {
@@ -169,8 +167,8 @@
 
     /// Whether a host that the store has not confirmed for `lapse` is to cool down,
     /// as the fault is its own and not the store's: fewer than one in
-    /// `OUTAGE_SHARE` of the other members saw store errors in that time, or there
-    /// are none that it knows of.
+    /// `OUTAGE_SHARE` of the other members had store errors in that time, or it knows
+    /// of no other members.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/exchange.rs
@@ -90,7 +90,7 @@
     /// ```
     pub fn prefix_hash(&self) -> u64 {
         let parts = self.shared_parts().iter();
-        parts.fold(0, |chain, part| xxh3_64_with_seed(&part.id.0.to_le_bytes(), chain))
+        parts.fold(0, |path, part| xxh3_64_with_seed(&part.id.0.to_le_bytes(), path))
     }
 }
 
--- a/crates/core/src/feed.rs
+++ b/crates/core/src/feed.rs
@@ -47,8 +47,8 @@
 ///     events: vec![stored],
 /// };
 /// let cache_index = CacheIndex::new();
-/// let (cursor, taken) = feed::apply(&cache_index, Slot(0), None, &read);
-/// assert_eq!((cursor.next, taken.events, taken.gaps), (1, 1, 0));
+/// let (cursor, stats) = feed::apply(&cache_index, Slot(0), None, &read);
+/// assert_eq!((cursor.next, stats.events, stats.gaps), (1, 1, 0));
 /// assert_eq!(cache_index.blocks_of(Slot(0)), [BlockHash(7)]);
 /// ```
 pub fn apply(
--- a/crates/core/src/host.rs
+++ b/crates/core/src/host.rs
@@ -62,9 +62,8 @@
 }
 
 impl Capacity {
-    /// Its capacity for taking on system-wide tasks, such as the leadership of
-    /// weights rollouts.
-    pub fn room(self) -> ControlCapacity {
+    /// Its capacity for control work, such as leading weights rollouts.
+    pub fn control_capacity(self) -> ControlCapacity {
         ControlCapacity::new(self.cores, self.link.0)
     }
 }
--- a/crates/core/src/leadership.rs
+++ b/crates/core/src/leadership.rs
@@ -9,22 +9,24 @@
 //! interval.
 //!
 //! Limits: a leader gives orders only while its lease is certain to last. The
-//! lease is counted from before the request for it, on a clock that counts
-//! suspension, less a margin for an order in transit. It also waits until the
-//! handover interval has passed since it was assigned leadership and the store has
-//! confirmed it after that. A leader that was already allowed to give orders and is
-//! assigned leadership again within the handover interval after the store last
-//! confirmed it goes on at once: any other leader would still be waiting, and
-//! learns at its confirmation that it has lost leadership. (The store would have
-//! to move leadership twice by itself within the interval to break this.)
+//! lease is counted from a time before the request for it was sent, on a clock
+//! that counts suspension, less a margin for an order in transit. The leader also
+//! waits until the handover interval has passed since it was assigned leadership
+//! and the store has confirmed its leadership after that. A leader that was
+//! already allowed to give orders and is assigned leadership again within the
+//! handover interval after the store last confirmed it goes on at once: any other
+//! leader would still be waiting, and learns at its confirmation that it has lost
+//! leadership. (The store would have to move leadership twice by itself within the
+//! interval to break this.)
 //!
 //! A store that returns from a backup may assign leadership to a former leader
 //! while the last one still relies on its lease. That one asked for its lease
-//! before the return, so the lease ends at the latest one lease duration after any
-//! host has first seen the new era. The handover interval of a term that begins
-//! sooner is counted from then. A leader that was allowed to give orders and that
-//! is confirmed in the new era goes on: whoever was assigned leadership meanwhile
-//! is still waiting. A leader that was still waiting starts a new term.
+//! before the return, so the lease ends at the latest one lease duration after
+//! any host first received an answer of the new era. The handover interval of a
+//! term that begins sooner is counted from that end. A leader that was allowed to
+//! give orders and that is confirmed in the new era goes on: whoever was assigned
+//! leadership meanwhile is still waiting. A leader that was still waiting starts
+//! a new term.
 
 use std::time::Duration;
 
@@ -32,8 +34,7 @@
 
 use crate::era::{Era, Token};
 
-/// How long the store may take to confirm a new member for the first time, in
-/// seconds.
+/// How long the store may take to confirm a new member for the first time.
 const FIRST_JOIN: Duration = Duration::from_secs(1);
 
 /// Whether a host is a candidate for leadership, as hosts report to each other.
@@ -66,8 +67,8 @@
     }
 }
 
-/// Time at the end of the lease during which no orders are given, in milliseconds.
-/// It covers the few milliseconds that an order takes to arrive.
+/// Time at the end of the lease during which no orders are given. It covers the
+/// few milliseconds that an order takes to arrive.
 pub const ORDER_MARGIN: Duration = Duration::from_millis(400);
 
 /// The effect of an answer of the store on this host's leadership.
@@ -120,9 +121,9 @@
     /// The last term: when it began, and when this host sent the last request that
     /// the store answered by confirming it.
     last_term: Option<(Duration, Duration)>,
-    /// The newest era seen, and until when leases of earlier eras may last. That is
-    /// counted from when this host first saw the era: a host that has just started
-    /// cannot know when the era began.
+    /// The newest era received, and until when leases of earlier eras may last. That
+    /// is counted from when this host first received the era: a host that has just
+    /// started cannot know when the era began.
     era: (Era, Duration),
 }
 
@@ -133,12 +134,12 @@
     }
 
     /// Applies an answer of the store, requested at `asked` and received at `now`:
-    /// whether leadership is `held` by this host, and the token of the assignment.
-    /// `handover` is the minimum handover interval. An answer of an earlier era than
-    /// the last one's changes nothing.
+    /// whether this host is the leader (`is_leader`), and the token of the
+    /// assignment. `handover` is the minimum handover interval. An answer of an
+    /// earlier era than the last one's changes nothing.
     pub fn on_store_answer(
         &mut self,
-        held: bool,
+        is_leader: bool,
         token: Token,
         asked: Duration,
         now: Duration,
@@ -152,7 +153,7 @@
         if is_new_era {
             self.era = (token.era(), now + self.lease);
         }
-        match (held, self.term) {
+        match (is_leader, self.term) {
             (true, Some((_, since)))
                 if now < self.until && (!is_new_era || self.could_order(handover)) =>
             {
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -28,8 +28,8 @@
 
 use crate::ids::{Fencing, Offset};
 
-/// Fraction of the time to live (one in so many) that is kept as a margin by the
-/// holder before the end of its lease, and by a challenger after it.
+/// The time to live divided by this number is kept as a margin by the holder
+/// before the end of its lease, and by a challenger after it.
 const MARGIN_SHARE: u32 = 4;
 
 /// One grant in the `lease` stream.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -43,12 +43,12 @@
 //!   weights.
 //! - [`candidacy`]: which hosts are candidates for the leadership of weights
 //!   rollouts.
-//! - [`broadcast`]: broadcasts messages to all hosts through a few relaying hosts.
+//! - [`broadcast`]: broadcasts messages to all hosts through a few relays.
 //! - [`pace`]: rate limits for control traffic.
 //! - [`leadership`]: one host's term as leader of weights rollouts, which the
 //!   platform's store assigns.
-//! - [`era`]: eras of the platform's store (a new one starts each time it is
-//!   restored from a copy), and fencing tokens across them.
+//! - [`era`]: eras of the platform's store (a new one starts each time it
+//!   returns from a backup), and fencing tokens across them.
 //! - [`relay`]: how far a host has read a log that a few hosts read on behalf of
 //!   all.
 //! - [`store_availability`]: when the platform's store was available.
--- a/crates/core/src/measure.rs
+++ b/crates/core/src/measure.rs
@@ -113,11 +113,11 @@
     /// use std::time::{Duration, Instant};
     /// use marjoram_core::ids::BlockHash;
     /// use marjoram_core::measure::RecentBlocks;
-    /// let mut seen = RecentBlocks::new(Duration::from_secs(10));
+    /// let mut recent_blocks = RecentBlocks::new(Duration::from_secs(10));
     /// let blocks = [BlockHash(1), BlockHash(2)];
     /// let now = Instant::now();
-    /// assert_eq!(seen.finished(&blocks, 0, now), 0);
-    /// assert_eq!(seen.finished(&blocks, 16, now), 16);
+    /// assert_eq!(recent_blocks.finished(&blocks, 0, now), 0);
+    /// assert_eq!(recent_blocks.finished(&blocks, 16, now), 16);
     /// ```
     pub fn finished(&mut self, blocks: &[BlockHash], cached: u64, now: Instant) -> u64 {
         let cached_blocks = (cached as usize) / BLOCK_TOKENS;
--- a/crates/core/src/part_index.rs
+++ b/crates/core/src/part_index.rs
@@ -10,7 +10,8 @@
 //! parts than all engines together have memory for. A host that does not know
 //! where a part is cached causes it to be prefilled again, which evicts another
 //! part. So the few hosts that read an engine's events pass on those of large
-//! parts to the others, each event twice; event numbers give the order.
+//! parts to the others, each event twice. Events of a part are ordered by their
+//! numbers.
 
 use std::collections::HashMap;
 
@@ -38,8 +39,8 @@
 /// prefilling it again takes an engine tens of milliseconds.
 pub const LARGE_PART: u64 = 1_000;
 
-/// Number of entries, those of evicted parts included, from which an event
-/// received from another host first removes the entries of evicted parts.
+/// Number of entries, including those of evicted parts, from which the entries of
+/// evicted parts are removed before an event from another host is applied.
 const MAX_ENTRIES: usize = 512;
 
 /// Epoch of a cache: it identifies the incarnation of the upstream, by its
@@ -147,7 +148,7 @@
         new_epoch
     }
 
-    /// The events of `page` that concern parts which are large, or were before
+    /// The events of `page` that concern parts which are large, or were large before
     /// the event. To be called before the page is applied.
     ///
     /// ```
@@ -238,8 +239,8 @@
     /// let part = |id| Part { id: PartId(id), tokens: 500 };
     /// let (cache, part_index) = (CacheId::new("3"), PartIndex::new());
     /// // The first part was just prefilled there; the second is not known to be cached.
-    /// let held = part_index.cached_tokens_assuming(cache, &[part(1), part(2)], |p| p.id == PartId(1));
-    /// assert_eq!(held, 500);
+    /// let cached = part_index.cached_tokens_assuming(cache, &[part(1), part(2)], |p| p.id == PartId(1));
+    /// assert_eq!(cached, 500);
     /// ```
     pub fn cached_tokens_assuming(
         &self,
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -12,7 +12,7 @@
 //! whole path is hashed, since many paths may share a few outermost parts. All
 //! hosts compute the same ranks, so they agree on preferred engines without
 //! messages, at any number of engines, and an engine that leaves moves only its
-//! own parts. A part that no engine has cached is prefilled at its preferred
+//! own parts. A part that no engine has cached is prefilled at the preferred
 //! engine; later requests find it there or copy it from there.
 //!
 //! Engines are compared by the expected value of their answer to the caller,
@@ -21,9 +21,9 @@
 //! prefill of shared parts takes from other prompts.
 //!
 //! With many hosts, each host learns of the others' loads late, and until then
-//! all hosts would send to the engine that looks least loaded. There, each
-//! request is compared over a few engines sampled for it by hashing, in
-//! addition to those that have its parts cached or are preferred for them.
+//! all hosts would send to the engine that looks least loaded. There, only
+//! a few engines are compared for each request: those sampled for it by hashing,
+//! and those that have its parts cached or are preferred for its path.
 
 mod partition;
 mod score;
@@ -119,7 +119,7 @@
     pub age: WeightsAge,
     /// It is in the pool partition for prompts of this size.
     pub in_partition: bool,
-    /// It is in the sample of engines that this request is compared over.
+    /// It is in the sample of engines that are compared for this request.
     pub sampled: bool,
 }
 
@@ -150,11 +150,11 @@
 /// most that fraction of it.
 const MAX_WAIT_DIVISOR: u32 = 4;
 
-/// Whether a prompt of `input` tokens has to wait at the router because
-/// `unread` tokens are queued ahead of it at the chosen engine. It has already
-/// waited for `held` of the `limit` that its caller allows. An engine accepts
-/// everything it is sent and prefills it in order, so a large prompt queued
-/// there also delays the small prompts that arrive after it.
+/// Whether a prompt of `input` tokens has to wait at the router because `unread`
+/// tokens are queued ahead of it at the chosen engine. It has already waited for
+/// the time `waited`, and its caller allows `limit` in all. An engine accepts
+/// everything it is sent and prefills it in order, so a large prompt queued there
+/// also delays the small prompts that arrive after it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -164,14 +164,14 @@
 /// assert!(!must_wait(17_000, 30_000, Duration::from_secs(2), limit));
 /// assert!(!must_wait(300, 30_000, Duration::ZERO, limit));
 /// ```
-pub fn must_wait(input: u64, unread: u64, held: Duration, limit: Duration) -> bool {
-    input >= LARGE_PROMPT && unread > MAX_QUEUED_TOKENS && held < limit / MAX_WAIT_DIVISOR
+pub fn must_wait(input: u64, unread: u64, waited: Duration, limit: Duration) -> bool {
+    input >= LARGE_PROMPT && unread > MAX_QUEUED_TOKENS && waited < limit / MAX_WAIT_DIVISOR
 }
 
-/// Rendezvous-hash rank of the engine with `key` for the prefix path `chain`.
-pub fn rank(chain: u64, key: u64) -> u64 {
+/// Rendezvous-hash rank of the engine with `key` for the prefix path `path`.
+pub fn rank(path: u64, key: u64) -> u64 {
     let mut hash = Xxh3Default::new();
-    hash.write_u64(chain);
+    hash.write_u64(path);
     hash.write_u64(key);
     hash.finish()
 }
@@ -202,7 +202,7 @@
     Some(score(need, &candidates[index], index, preferred).1)
 }
 
-/// Chooses the engine with the highest expected value for a prompt that needs
+/// Chooses the engine with the highest expected value for a prompt with the need
 /// `need`; `None` without candidates.
 ///
 /// ```
@@ -224,11 +224,11 @@
 ///     in_partition: true,
 ///     sampled: true,
 /// };
-/// let home = Candidate { rank: 9, ..idle };
+/// let preferred = Candidate { rank: 9, ..idle };
 /// let need = Need { input: 17_000, shared: 13_000, output: 30, target: 800.0 };
-/// assert_eq!(place(need, &[idle, home]).unwrap().engine, 1);
+/// assert_eq!(place(need, &[idle, preferred]).unwrap().engine, 1);
 /// // The engine that caches the parts has a long queue: they are copied to the idle one.
-/// let busy = Candidate { unread: 50_000, held: 13_000, ..home };
+/// let busy = Candidate { unread: 50_000, held: 13_000, ..preferred };
 /// let copy = Some(CopyableCache { held: 13_000, token_ms: 0.002 });
 /// let choice = place(need, &[Candidate { copy, ..idle }, busy]).unwrap();
 /// assert_eq!((choice.engine, choice.copies), (0, true));
--- a/crates/core/src/place/partition.rs
+++ b/crates/core/src/place/partition.rs
@@ -1,5 +1,5 @@
-//! Partitions an engine pool by prompt size, and samples the engines that a
-//! request is compared over.
+//! Partitions an engine pool by prompt size, and samples the engines that
+//! are compared for a request.
 
 use super::rank;
 
@@ -12,7 +12,7 @@
 /// best one.
 const SAMPLE_PER_PARTITION: usize = 2;
 
-/// Which of the engines, given by their positions in the hash order `places`,
+/// Which of the engines, given by their positions `places` in the hash order,
 /// form the pool partition for prompts of a size (`large` or small). The share
 /// `small_share` of the engines takes the small prompts, so that their many
 /// short answers are not delayed by the prefill of large ones. The partitions
@@ -33,7 +33,7 @@
     partition
 }
 
-/// Which engines a request with the key `request` is compared over when there
+/// Which engines are compared for a request with the key `request` when there
 /// are `hosts` hosts: all of them at up to [`SINGLE_ROUND_HOSTS`], else a few of its
 /// partition (`partition`) and a few others.
 ///
--- a/crates/core/src/place/score.rs
+++ b/crates/core/src/place/score.rs
@@ -51,11 +51,11 @@
     capacity: u64,
 }
 
-/// Value lost when requests exceed the planned share by the whole memory of the
-/// engine: running requests are then preempted and prefilled again.
+/// Value lost if requests exceed the planned share of an engine's memory by as
+/// much as its whole memory: running requests are then preempted and prefilled again.
 const OVERCOMMIT_COST: f64 = 4.0;
 
-/// Share of an engine's memory planned for running requests; caches need the
+/// Share of an engine's memory that is planned for running requests; caches need the
 /// rest.
 const PLANNED_MEMORY_SHARE: f64 = 0.8;
 
--- a/crates/core/src/poison.rs
+++ b/crates/core/src/poison.rs
@@ -31,12 +31,12 @@
 pub use suspect::MIN_CRASHES;
 pub use suspects::{CRASH_REPORT_WINDOW, Suspects};
 
-/// How long a request is refused when it is first detected, in seconds (one hour);
-/// doubled each time it crashes an upstream again. By the end its caller, or the
-/// software that runs it, has most likely changed.
+/// How long a request is refused when it is first detected: one hour, doubled
+/// each time it crashes an upstream again. By the end its caller, or the software
+/// that runs it, has most likely changed.
 pub const QUARANTINE_TERM: Duration = Duration::from_secs(3_600);
 
-/// The longest such time, in seconds (one day).
+/// The longest such time: one day.
 const MAX_TERM: Duration = Duration::from_secs(24 * 3_600);
 
 /// Maximum number of doublings.
@@ -47,8 +47,9 @@
 
 /// The upstreams to which `request` is sent next after a crash, as indices into
 /// `places`, the keys of the available ones. Requests with the same prompt prefix
-/// otherwise go to the same upstreams and are in flight at the same crashes;
-/// spread over different upstreams, they can be distinguished from the cause.
+/// otherwise go to the same upstreams and are in flight at the same crashes. Once
+/// they are spread over different upstreams, the one that causes the crashes can be
+/// distinguished from the others.
 ///
 /// ```
 /// use marjoram_core::fingerprint::Fingerprint;
@@ -78,7 +79,7 @@
     /// How long before the crash the request last completed at the reporting host.
     pub well: Option<Duration>,
     /// When that host noticed the crash, since the Unix epoch. The time of receipt
-    /// cannot stand in for it: reports may be read late, and several at once.
+    /// cannot be used instead: reports may be read late, and several at once.
     pub at: Duration,
 }
 
--- a/crates/core/src/poison/quarantine.rs
+++ b/crates/core/src/poison/quarantine.rs
@@ -6,8 +6,8 @@
 use super::{CrashReport, Quarantined};
 use crate::fingerprint::Fingerprint;
 
-/// How long an entry is kept after its term, in seconds (one day). While it is
-/// kept, a single crash of its request suffices to refuse the request again.
+/// How long an entry is kept after its term: one day. While it is kept, a single
+/// crash of its request suffices to refuse the request again.
 const RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
 /// Maximum number of entries; the one whose term ends first is evicted.
@@ -98,8 +98,8 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// The next entry of a request that was tried again after its term and that
-    /// crashed an upstream again, as `report`, received at `now`, says.
+    /// The next entry of a request that was sent again after its term and crashed an
+    /// upstream again, according to `report`, received at `now`.
     pub fn recurrence(&self, report: &CrashReport, now: Duration) -> Option<Quarantined> {
         let former = self.entries.get(&report.request)?;
         let since_term = now.checked_sub(former.until())?;
--- a/crates/core/src/poison/suspect.rs
+++ b/crates/core/src/poison/suspect.rs
@@ -19,21 +19,21 @@
 const MIN_ATTEMPTS: usize = 3;
 
 /// A request that crashes upstreams does so at the same point of its run. Points
-/// count as the same if they are within this factor plus this time in
-/// milliseconds: a few steps of a busy engine.
+/// count as the same if they are within this factor plus this time: a few steps
+/// of a busy engine.
 const SAME_POINT_FACTOR: u32 = 2;
 const SAME_POINT_SLACK: Duration = Duration::from_millis(100);
 
 /// Of two requests in flight at the same crashes, the cause is the one whose
-/// points are closer together, by the factor above and by more than this time in
-/// milliseconds: a busy host notices a crash some milliseconds late.
+/// points are closer together, by the factor above and by more than this time: a
+/// busy host notices a crash some milliseconds late.
 const SPREAD_SLACK: Duration = Duration::from_millis(20);
 
-/// How long before the first crash, in seconds, a completed run still counts in
-/// favour of a request.
+/// How long before the first crash a completed run still counts in favour of a
+/// request.
 const COMPLETED_RUN_WINDOW: Duration = Duration::from_secs(60);
 
-/// How long a crash counts against a request, in seconds (one hour).
+/// How long a crash counts against a request: one hour.
 const CRASH_WINDOW: Duration = Duration::from_secs(3_600);
 
 /// Maximum number of crashes kept for one request.
@@ -60,8 +60,7 @@
     pub crashes: Vec<Crash>,
     /// Whether they are enough to count the request as their cause.
     pub has_enough: bool,
-    /// Whether a detection has considered it since the last crash, without
-    /// detecting it.
+    /// Whether a run of [`super::Suspects::detect`] has considered all its crashes.
     pub evaluated: bool,
     /// When it last completed, since the Unix epoch.
     last_completed: Option<Duration>,
@@ -73,7 +72,7 @@
 /// How well a request explains the crashes at which it was in flight, in the order
 /// of significance: that it did not complete shortly before, the number of
 /// crashes, the number of attempts, the number of crashes after its answer had
-/// begun, and how close together the points of its run are at which they came.
+/// begun, and how close together the points of its run are at which they occurred.
 type Strength = (bool, usize, usize, usize, Reverse<Duration>);
 
 impl Suspect {
@@ -139,7 +138,8 @@
         self.crashes.len() >= self.required_crashes() && self.crashes.len() > self.tied
     }
 
-    /// Whether its crashes are enough, and no detection has considered them all.
+    /// Whether its crashes are enough, and no run of [`super::Suspects::detect`] has
+    /// considered them all.
     pub fn is_unevaluated(&self) -> bool {
         self.has_enough && !self.evaluated
     }
@@ -157,15 +157,15 @@
         attempts.len()
     }
 
-    /// The earliest and the latest point of its run at which a crash came, by how long
-    /// its answer had been streamed. Zero if that had not begun, as with a request
-    /// that crashes upstreams at once.
+    /// The earliest and the latest point of its run at which a crash occurred, by
+    /// how long its answer had been streamed. Zero if that had not begun, as with
+    /// a request that crashes upstreams at once.
     fn crash_points(&self) -> (Duration, Duration) {
         let ran = self.crashes.iter().map(|c| c.ran.unwrap_or_default());
         (ran.clone().min().unwrap_or_default(), ran.max().unwrap_or_default())
     }
 
-    /// Whether the crashes came at the same point of its run.
+    /// Whether the crashes occurred at the same point of its run.
     fn crashes_at_same_point(&self) -> bool {
         let (min, max) = self.crash_points();
         max <= min * SAME_POINT_FACTOR + SAME_POINT_SLACK
@@ -193,18 +193,18 @@
         (not_completed, self.crashes.len(), self.attempts(), begun, Reverse(self.point_spread()))
     }
 
-    /// How far apart the points of its run are at which the crashes came.
+    /// How far apart the points of its run are at which the crashes occurred.
     fn point_spread(&self) -> Duration {
         let (min, max) = self.crash_points();
         max - min
     }
 
-    /// Whether this suspect explains some of the crashes of `other` at least as well:
-    /// each of its crashes came under a new attempt, and it was in flight also at a
-    /// crash where `other` was not, or had begun later than `other` at each shared
-    /// one. Two crashes are not enough for that unless `other` had one attempt only:
-    /// with many causes of crashes, requests that are sent again are in flight at
-    /// two by coincidence.
+    /// Whether this suspect explains some of the crashes of `other` at least as
+    /// well: at each of its crashes it was in flight under a new attempt, and it
+    /// was in flight also at a crash where `other` was not, or had begun later
+    /// than `other` at each shared one. Two crashes are not enough for that
+    /// unless `other` had one attempt only: with many causes of crashes, requests
+    /// that are sent again are in flight at two by coincidence.
     pub fn competes_with(&self, other: &Self) -> bool {
         let theirs = |c: &Crash| other.crashes.iter().find(|o| o.upstream == c.upstream).copied();
         let shared: Vec<(Crash, Crash)> =
--- a/crates/core/src/poison/suspects.rs
+++ b/crates/core/src/poison/suspects.rs
@@ -9,8 +9,8 @@
 use super::suspect::{Crash, MIN_CRASHES, Suspect};
 use crate::fingerprint::Fingerprint;
 
-/// Time in milliseconds after the first report of a crash within which all hosts
-/// have reported on it, where they notify each other at once.
+/// Time after the first report of a crash within which all hosts have reported on
+/// it, where they notify each other at once.
 pub const CRASH_REPORT_WINDOW: Duration = Duration::from_millis(100);
 
 /// Maximum number of suspects with one crash and with several. They are kept
@@ -19,7 +19,7 @@
 const MAX_WITH_ONE: usize = 4_096;
 const MAX_WITH_SEVERAL: usize = 1_024;
 
-/// Maximum number of crashes kept that are explained, and that have been reported.
+/// Maximum number of crashes kept as explained and as reported.
 const MAX_EXPLAINED: usize = 1_024;
 const MAX_REPORTED: usize = 1_024;
 
@@ -134,8 +134,8 @@
     }
 
     /// Records that the crashes of `upstreams` are explained by a detected request:
-    /// from now on they count against no other one, except as `Suspect::explain`
-    /// says.
+    /// from now on they count against no other one, except where
+    /// `Suspect::explain` keeps them as tied.
     pub fn explain(&mut self, upstreams: &[u64]) {
         let new: Vec<u64> =
             upstreams.iter().copied().filter(|u| !self.explained.contains(u)).collect();
@@ -148,15 +148,15 @@
         self.change(|c| new.contains(&c.upstream), |suspect| suspect.explain(upstreams));
     }
 
-    /// Removes reported crashes of upstreams that were alive afterwards: `lives` says
-    /// whether an upstream was alive after a given time. Checks only suspects that
+    /// Removes reported crashes of upstreams that were alive afterwards: `was_alive`
+    /// is whether an upstream was alive after a given time. Checks only suspects that
     /// are about to be detected.
-    pub fn refute(&mut self, now: Duration, lives: impl Fn(u64, Duration) -> bool) {
+    pub fn refute(&mut self, now: Duration, was_alive: impl Fn(u64, Duration) -> bool) {
         let candidates = self.candidates(now);
         let mut alive: Vec<u64> = candidates
             .iter()
             .flat_map(|(_, s)| s.crashes.iter())
-            .filter(|crash| lives(crash.upstream, crash.received_at))
+            .filter(|crash| was_alive(crash.upstream, crash.received_at))
             .map(|crash| crash.upstream)
             .collect();
         alive.sort_unstable();
@@ -189,15 +189,15 @@
         self.with_several_crashes.iter().any(|(_, s)| s.has_enough)
     }
 
-    /// Whether any suspect was in flight at enough crashes and no detection has
-    /// considered them all.
+    /// Whether any suspect was in flight at enough crashes and no run of
+    /// [`Self::detect`] has considered them all.
     pub fn has_unevaluated(&self) -> bool {
         self.with_several_crashes.iter().any(|(_, s)| s.is_unevaluated())
     }
 
-    /// Whether `request` is to be held back: it was in flight at enough crashes, and
-    /// no detection has considered them all. If it were sent meanwhile, it might
-    /// crash one more upstream.
+    /// Whether `request` is to be held back: it was in flight at enough crashes,
+    /// and no run of [`Self::detect`] has considered them all. If it were sent
+    /// meanwhile, it might crash one more upstream.
     pub fn withholds(&self, request: Fingerprint) -> bool {
         self.with_several_crashes.peek(&request).is_some_and(Suspect::is_unevaluated)
     }
@@ -208,8 +208,8 @@
     }
 
     /// Whether another suspect explains crashes of `suspect` better, where `suspect`
-    /// may have been in flight by coincidence: the other one shares a crash, came
-    /// under a new attempt each time, and was also in flight at a crash where
+    /// may have been in flight by coincidence: the other one shares a crash, was in
+    /// flight under a new attempt each time, and was also in flight at a crash where
     /// `suspect` was not, or had begun later than `suspect` each time.
     fn has_competitor(&self, suspect: &Suspect) -> bool {
         suspect.may_be_coincidental()
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -6,17 +6,17 @@
 //! against 17,000. Fixed parts would refuse requests of workspaces that
 //! are far below their quota, since callers choose hosts unevenly.
 //!
-//! Limits: each host reports the demand that it sees and the units that it
-//! admitted to two other hosts, the quota coordinators of the workspace
-//! ([`ledger`]). They keep one token bucket for all reachable hosts, and answer
-//! with the admission ratio: the fraction of requests to admit. A host admits
-//! requests at random with that probability ([`gate`]), whatever their size. The
-//! ratio is as old as [`REPORT_INTERVAL`] plus the network delay; what was
-//! admitted in excess during that time is charged later.
+//! Limits: each host reports to two hosts, the quota coordinators of the
+//! workspace ([`ledger`]), the demand of its callers and the units that it
+//! admitted. They keep one token bucket for all reachable hosts, and answer with
+//! the admission ratio: the fraction of requests to admit. A host admits requests
+//! at random with that probability ([`gate`]), whatever their size. The ratio is
+//! as old as [`REPORT_INTERVAL`] plus the network delay; what was admitted in
+//! excess during that time is charged later.
 //!
 //! A host that no coordinator answers keeps to its share of the quota in each
-//! window, as in the last answer that it received, and the coordinators reserve
-//! that share in the bucket of the others for [`RESERVATION_TIME`]. All shares
+//! window, as stated in the last answer that it received, and the coordinators
+//! reserve that share in the bucket of the others for [`RESERVATION_TIME`]. All shares
 //! together are never more than the quota: a host's share is raised only by what other
 //! hosts have reported to have given up. So both sides of a network partition
 //! together stay within the quota, at whatever moment it begins. Hosts that have
@@ -32,14 +32,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Time in milliseconds between two reports of a host to the coordinators.
+/// Time between two reports of a host to the coordinators.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long an answer of a coordinator is valid, in milliseconds: more than two
-/// report intervals, so that one report or answer may be lost.
+/// How long an answer of a coordinator is valid: more than two report intervals,
+/// so that one report or answer may be lost.
 pub const ANSWER_SPAN: Duration = Duration::from_millis(600);
 
-/// How long the share of an unreachable host is reserved, in seconds.
+/// How long the share of an unreachable host is reserved.
 pub const RESERVATION_TIME: Duration = Duration::from_secs(30);
 
 /// Number of quota coordinators of a workspace.
@@ -147,8 +147,9 @@
     }
 }
 
-/// The group of workspaces, each coordinated by one pair of hosts, that the one
-/// with the hashed name `workspace` belongs to, where `workspaces` have quotas.
+/// Number of the group that the workspace with the hashed name `workspace`
+/// belongs to, where `workspaces` is the number of workspaces with quotas. Each
+/// group is coordinated by one pair of hosts.
 ///
 /// ```
 /// use marjoram_core::quota::group;
--- a/crates/core/src/quota/gate.rs
+++ b/crates/core/src/quota/gate.rs
@@ -1,5 +1,5 @@
-//! Admission of requests at this host: by the admission ratio that quota
-//! coordinators answer, or by its own share of the quota if none does.
+//! Admission of requests at this host: by the admission ratio in the answers of
+//! quota coordinators, or by its own share of the quota if none answers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,18 +13,18 @@
 const MIN_USUAL: f64 = 0.05;
 
 /// A host that no coordinator answers keeps to its share not only in each window
-/// but also in this fraction of it (one in so many); else it could admit at once
-/// what it left unused of a window. The first applies where it has received a
-/// share, the second, stricter one where it has not.
+/// but also in each span of a window divided by this number; else it could admit
+/// at once what it left unused of a window. The first applies where it has
+/// received a share, the second, stricter one where it has not.
 const KNOWN_SHARE_DIVISOR: u32 = 2;
 const UNKNOWN_SHARE_DIVISOR: u32 = 8;
 
-/// Span in seconds in which a host that coordinators answer admits no more than
-/// its share and a burst: coordinators receive a report of it within half of that.
+/// Span in which a host that coordinators answer admits no more than its share of
+/// the rate and of the burst: coordinators receive a report of what it admits
+/// within half of that.
 const SURGE_SPAN: Duration = Duration::from_secs(1);
 
-/// Retry delay in seconds of callers that are refused while no coordinator
-/// answers.
+/// Retry delay of callers that are refused while no coordinator answers.
 const LOCAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The decision on a request.
@@ -170,14 +170,14 @@
         }
     }
 
-    /// Applies the answer of the coordinator `account`, received at `now`.
-    pub fn apply(&mut self, account: u64, allocation: Allocation, now: Duration) {
+    /// Applies the answer of `coordinator` (its hashed name), received at `now`.
+    pub fn apply(&mut self, coordinator: u64, allocation: Allocation, now: Duration) {
         let Some(meter) = self.meters.get_mut(&allocation.workspace) else { return };
         meter.share = Some(f64::from(allocation.share));
         meter.target_share = f64::from(allocation.target_share);
         meter.burst_left = f64::from(allocation.burst_left);
-        meter.allocations.retain(|(from, _, at)| *from != account && now < *at + ANSWER_SPAN);
-        meter.allocations.push((account, allocation, now));
+        meter.allocations.retain(|(from, _, at)| *from != coordinator && now < *at + ANSWER_SPAN);
+        meter.allocations.push((coordinator, allocation, now));
     }
 
     /// Gives this host the fixed `share` of all quotas, where coordinators are not
@@ -188,8 +188,8 @@
         }
     }
 
-    /// The usage reports for the coordinators at `now`, where `window` is the window of
-    /// quotas.
+    /// The usage reports to send to the coordinators at `now`. `window` is the window
+    /// of the quotas.
     pub fn usages(&self, window: Duration, now: Duration) -> Vec<Usage> {
         let usage = |(workspace, meter): (&u64, &Meter)| Usage {
             workspace: *workspace,
@@ -254,8 +254,8 @@
     /// allowed only as far as the last answer left some of the burst: none where the
     /// workspace was limited, as they may be used up already. Without any answer
     /// only part of the tolerated overage is allowed beyond the rate.
-    /// The caller admits a larger request with a probability, so that many hosts do
-    /// not all overdraw their shares by one.
+    /// The caller admits a request that costs more than this with a probability, so
+    /// that many hosts do not all overdraw their shares by one request.
     fn remaining_units(&self, limit: &Limit, hosts: usize, now: Duration) -> f64 {
         let window = limit.tolerance.window;
         let (burst_units, span) = match self.share {
@@ -275,10 +275,10 @@
         slots.map(|slot| slot.units).sum::<u64>() as f64
     }
 
-    /// Whether this host has admitted no more than its share and a burst within
-    /// [`SURGE_SPAN`]. Coordinators do not know of a load that rises many times
-    /// over until it is reported, so it is limited to this host's share until they
-    /// answer; one request may exceed the share.
+    /// Whether this host has admitted no more than its share of the rate and of
+    /// the burst within [`SURGE_SPAN`]. Coordinators do not know of a load that
+    /// rises many times over until it is reported, so it is limited to this
+    /// host's share until they answer; one request may exceed the share.
     fn is_within_share(&self, limit: &Limit, now: Duration) -> bool {
         let allowed = limit.quota.rate * SURGE_SPAN.as_secs_f64() + self.burst_units(limit);
         let largest = self.slots.iter().map(|slot| slot.largest).max().unwrap_or_default();
--- a/crates/core/src/quota/ledger.rs
+++ b/crates/core/src/quota/ledger.rs
@@ -2,8 +2,8 @@
 //!
 //! An account is a token bucket of the reachable hosts. It fills at the quota's
 //! rate, less the shares of unreachable hosts, and each usage report takes out
-//! what its host admitted since the report before. The admission ratio is what
-//! the bucket can spend in the next second, divided by the demand of the last.
+//! what its host admitted since its previous report. The admission ratio is what
+//! the bucket can spend in the next second, divided by the demand, and at most 1.
 
 mod account;
 
@@ -17,9 +17,9 @@
 pub(super) use account::RECENT_SPAN;
 
 /// Time constants of the exponential averages of a host's current demand and of
-/// its usual demand, in milliseconds and seconds. The first is two report
-/// intervals, so that the admission ratio follows a change of load quickly; the
-/// second is much longer, as shares depend on it and must not follow bursts.
+/// its usual demand. The first is two report intervals, so that the admission
+/// ratio follows a change of load quickly; the second is much longer, as shares
+/// depend on it and must not follow bursts.
 pub(super) const DEMAND_SPAN: Duration = Duration::from_millis(500);
 pub(super) const USUAL_SPAN: Duration = Duration::from_secs(10);
 
@@ -28,8 +28,8 @@
 pub struct Usage {
     /// Hash of the workspace's name.
     pub workspace: u64,
-    /// Current demand: units a second that callers ask of the host, averaged over
-    /// half a second.
+    /// Current demand: units a second that callers request of the host, averaged
+    /// over half a second.
     pub demand: f32,
     /// Usual demand: the same, averaged over ten seconds.
     pub usual: f32,
@@ -37,7 +37,7 @@
     pub admitted: i64,
     /// Units that it admitted within the last window of the quota.
     pub admitted_in_window: f32,
-    /// Units that it admitted within [`RECENT_SPAN`].
+    /// Units that it admitted within `RECENT_SPAN`, the last two seconds.
     pub admitted_recently: f32,
     /// The share of the quota that it uses when no coordinator answers; `None` if it
     /// has not received one.
@@ -78,16 +78,16 @@
 #[derive(Debug, Clone, Default)]
 pub struct Hosts {
     /// Number of reachable hosts, this one included.
-    pub heard: usize,
+    pub reachable: usize,
     /// Hashed names of the hosts that have been unreachable for less than
     /// [`super::RESERVATION_TIME`].
-    pub silent: HashSet<u64>,
+    pub unreachable: HashSet<u64>,
 }
 
 impl Hosts {
     /// Number of reachable and unreachable hosts.
     pub fn count(&self) -> usize {
-        self.heard + self.silent.len()
+        self.reachable + self.unreachable.len()
     }
 
     /// Whether at least half of the hosts are reachable, so that this host may
@@ -95,11 +95,11 @@
     ///
     /// ```
     /// use marjoram_core::quota::ledger::Hosts;
-    /// assert!(Hosts { heard: 2, silent: [7, 8].into() }.can_coordinate());
-    /// assert!(!Hosts { heard: 1, silent: [7, 8].into() }.can_coordinate());
+    /// assert!(Hosts { reachable: 2, unreachable: [7, 8].into() }.can_coordinate());
+    /// assert!(!Hosts { reachable: 1, unreachable: [7, 8].into() }.can_coordinate());
     /// ```
     pub fn can_coordinate(&self) -> bool {
-        self.heard * 2 >= self.count()
+        self.reachable * 2 >= self.count()
     }
 }
 
@@ -125,7 +125,7 @@
 /// let quota = Quota { unit: Unit::Requests, rate: 100.0, burst: 100.0 };
 /// let window = Duration::from_secs(8);
 /// let limit = Limit { quota, tolerance: Tolerance { window, overage: 0.0, slack: 0.0 } };
-/// let hosts = Hosts { heard: 2, ..Hosts::default() };
+/// let hosts = Hosts { reachable: 2, ..Hosts::default() };
 /// let mut ledger = Ledger::default();
 /// let secs = Duration::from_secs_f64;
 /// let sender = Sender { host: 1, life: 1 };
--- a/crates/core/src/quota/ledger/account.rs
+++ b/crates/core/src/quota/ledger/account.rs
@@ -12,8 +12,8 @@
 use crate::quota::flow::Flow;
 use crate::quota::{ANSWER_SPAN, Limit};
 
-/// Time in seconds over which a full bucket is spent or an overdraft is worked
-/// off: four report intervals.
+/// Time over which a full bucket is spent or an overdraft is worked off: four
+/// report intervals.
 const CORRECTION_TIME: Duration = Duration::from_secs(1);
 
 /// Demand that is added to the usual demand of all hosts, in equal parts, as a
@@ -21,25 +21,24 @@
 /// demand. It is what gives a host with little recent demand a share.
 const EQUAL_PART: f64 = 0.5;
 
-/// Length in seconds of the short span over which hosts report what they
-/// admitted. Beside the whole window it shows what was admitted in one burst.
+/// The short span over which hosts report what they admitted, in addition to the
+/// whole window: it shows what was admitted in one burst.
 pub(in crate::quota) const RECENT_SPAN: Duration = Duration::from_secs(2);
 
-/// Longest time in seconds for which the last report of a host is extrapolated.
-/// By then the next report has arrived, or the host is known to be unreachable.
+/// Longest time for which the last report of a host is extrapolated. By then the
+/// next report has arrived, or the host is known to be unreachable.
 const EXTRAPOLATION_MAX: Duration = Duration::from_secs(2);
 
-/// Time in seconds within which every host has reported to a new account:
-/// eight report intervals.
+/// Time within which every host has reported to a new account: eight report
+/// intervals.
 const REPORT_ROUND: Duration = Duration::from_secs(2);
 
-/// How long in seconds the entry of a reachable host is kept after its last
-/// report: six times [`USUAL_SPAN`], when its usual demand has decayed to almost
-/// nothing.
+/// How long the entry of a reachable host is kept after its last report: six
+/// times [`USUAL_SPAN`], when its usual demand has decayed to almost nothing.
 const ENTRY_TTL: Duration = Duration::from_secs(60);
 
-/// Bounds of the retry delay that refused callers are given, in milliseconds and
-/// seconds. The lower one is two report intervals.
+/// Bounds of the retry delay that refused callers are given. The lower one is two
+/// report intervals.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(8);
 
@@ -55,8 +54,8 @@
     /// The share that the host used when it last reported; `None` if it had not
     /// received one.
     reported_share: Option<f64>,
-    /// The last two shares sent to the host. Both count, as the answer with the
-    /// newer one may be late or lost.
+    /// The last two shares sent to the host. It may be using either, as the answer
+    /// with the newer one may be late or lost.
     sent_shares: [f64; 2],
     /// The share that the next answer carries.
     share: f64,
@@ -72,7 +71,8 @@
     unreachable: bool,
     /// Whether it has been unreachable at any time since its last report.
     was_unreachable: bool,
-    /// Units that its first report gave for a window and for [`RECENT_SPAN`].
+    /// Units admitted within the last window and within [`RECENT_SPAN`], according to
+    /// its first report.
     initial_window: f64,
     initial_recent: f64,
     /// Whether it had run for less than a window at its first report.
@@ -211,7 +211,7 @@
         self.entries.is_empty()
     }
 
-    /// Whether hosts have ceased to report here. They report to other
+    /// Whether all hosts have ceased to report here. They report to other
     /// coordinators then, and what they admit is no longer known.
     fn is_abandoned(&self, now: Duration) -> bool {
         self.entries.values().all(|entry| now >= entry.reported_at + REPORT_ROUND)
@@ -228,7 +228,7 @@
         let even_share = self.even_share;
         for (host, entry) in &mut self.entries {
             entry.unreachable =
-                hosts.silent.contains(host) && now >= entry.reported_at + ANSWER_SPAN;
+                hosts.unreachable.contains(host) && now >= entry.reported_at + ANSWER_SPAN;
             if entry.unreachable && !entry.was_unreachable {
                 // It has admitted requests since its last report, and may use its
                 // share of the burst.
@@ -242,8 +242,8 @@
         }
         self.rate = limit.quota.rate;
         self.reserved = self.assign_shares(hosts, now);
-        let part = 1.0 - self.reserved;
-        let rate = limit.quota.rate * part;
+        let unreserved = 1.0 - self.reserved;
+        let rate = limit.quota.rate * unreserved;
         let span = now.saturating_sub(self.updated_at.unwrap_or(now)).as_secs_f64();
         // An overdraft older than a window no longer counts.
         let lowest = -rate * limit.tolerance.window.as_secs_f64();
@@ -262,15 +262,15 @@
             self.level -= debt - self.initial_debt;
             self.initial_debt = debt;
         }
-        self.level = (self.level + rate * span).clamp(lowest, limit.quota.burst * part);
+        self.level = (self.level + rate * span).clamp(lowest, limit.quota.burst * unreserved);
         self.updated_at = Some(now);
         let reachable = self.entries.values().filter(|entry| !entry.unreachable);
         let unreported: f64 = reachable.map(|entry| entry.admitted_since_report(now)).sum();
-        let left = self.level - unreported + limit.credit() * part;
+        let left = self.level - unreported + limit.credit() * unreserved;
         let spend = (rate + left / CORRECTION_TIME.as_secs_f64()).max(0.0);
         let demand = self.demand(now);
         self.admission_ratio = if demand > spend { spend / demand } else { 1.0 };
-        let capacity = (limit.quota.burst * part).max(f64::MIN_POSITIVE);
+        let capacity = (limit.quota.burst * unreserved).max(f64::MIN_POSITIVE);
         let burst_left = ((self.level - unreported) / capacity).clamp(0.0, 1.0);
         self.burst_left = if demand > spend { 0.0 } else { burst_left };
         let refill = Duration::try_from_secs_f64(-left / rate.max(f64::MIN_POSITIVE));
@@ -330,7 +330,7 @@
     ///
     /// All shares together never exceed the quota, whichever hosts are cut off and
     /// at whatever moment: a share is raised only by what other hosts have given
-    /// up, as their reports show.
+    /// up according to their reports.
     fn assign_shares(&mut self, hosts: &Hosts, now: Duration) -> f64 {
         self.even_share = 1.0 / hosts.count().max(1) as f64;
         self.equal_usual = EQUAL_PART * self.rate * self.even_share;
@@ -343,20 +343,20 @@
             - self.unreported_share(hosts, now))
         .max(0.0);
         let without_entry =
-            hosts.silent.iter().filter(|host| !self.entries.contains_key(host)).count();
+            hosts.unreachable.iter().filter(|host| !self.entries.contains_key(host)).count();
         // The shares of unreachable hosts without an entry are not known: they are
-        // assumed to use all that no other host does, and at least even shares.
+        // assumed to use all that no other host uses, and at least even shares.
         let unknown =
             if without_entry > 0 { unassigned.max(without_entry as f64 * even) } else { 0.0 };
         let free = if without_entry > 0 { 0.0 } else { unassigned };
         let target = |entry: &HostEntry| proportional_share(entry.usual_at(now), total, equal);
         let reachable = self.entries.values().filter(|entry| !entry.unreachable);
-        let missing: f64 =
+        let shortfall: f64 =
             reachable.map(|entry| (target(entry) - entry.max_share(even)).max(0.0)).sum();
-        let part = if missing > free { free / missing } else { 1.0 };
+        let granted = if shortfall > free { free / shortfall } else { 1.0 };
         for entry in self.entries.values_mut().filter(|entry| !entry.unreachable) {
             let (target, current) = (target(entry), entry.max_share(even));
-            entry.share = target.min(current) + part * (target - current).max(0.0);
+            entry.share = target.min(current) + granted * (target - current).max(0.0);
             entry.target_share = target;
         }
         (self.total_share(true) + unknown).min(1.0)
@@ -379,7 +379,7 @@
         } else {
             proportional_share(0.0, self.total_usual, self.equal_usual)
         };
-        hosts.heard.saturating_sub(reported) as f64 * each
+        hosts.reachable.saturating_sub(reported) as f64 * each
     }
 }
 
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,9 +1,9 @@
 //! Tracks how far a host has read a log that a few hosts read on behalf of all.
 //!
 //! The hosts that read the log relay the records to the others in datagrams.
-//! Those of different readers overlap, and they arrive late, twice or not at all.
-//! The log offsets show which of the records are new to a host. A store that is
-//! restored from a copy issues the same offsets again, in a later era.
+//! The datagrams of different readers overlap, and arrive late, twice or not at all.
+//! The log offsets show which of the records are new to a host. A store that returns
+//! from a backup issues the same offsets again, in a later era.
 //!
 //! A host never counts a record as read that it may have missed. A relay confirms
 //! that no newer records existed when its reader sent the read request, but
@@ -52,8 +52,8 @@
 /// let secs = Duration::from_secs;
 /// let span = |era, from, next| Span { era: Era(era), from, next };
 /// let mut position = Position::new(Era(1), 40, secs(1));
-/// let taken = position.advance(span(1, 30, 50), secs(2));
-/// assert_eq!((taken, position.at()), (Advance::New { after: 40 }, 50));
+/// let advance = position.advance(span(1, 30, 50), secs(2));
+/// assert_eq!((advance, position.at()), (Advance::New { after: 40 }, 50));
 /// assert_eq!(position.advance(span(1, 30, 45), secs(3)), Advance::Old);
 /// assert_eq!(position.advance(span(1, 51, 60), secs(3)), Advance::Gap);
 /// assert_eq!(position.advance(span(0, 45, 60), secs(3)), Advance::Old);
@@ -95,8 +95,8 @@
         self.at
     }
 
-    /// When the host has to read the log itself, if it may be `pause` behind the
-    /// end of the log.
+    /// When the host has to read the log itself, if what it has read may be `pause`
+    /// behind the end of the log.
     pub fn due(&self, pause: Duration) -> Duration {
         self.confirmed + pause
     }
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -5,7 +5,7 @@
 //! many engines load), and has lost its cache afterwards. With too few engines
 //! changing at a time, requests run on replaced weights; with too many, the
 //! remaining ones are overloaded. Only the newest version is ever ordered: a
-//! version that is replaced before an engine gets to it is skipped.
+//! version that is replaced before an engine is ordered to load it is skipped.
 //!
 //! Limits: a fifth of the engines load at a time, as the operators publish for
 //! their sites, but at least three. An engine that still finishes requests, which
@@ -19,19 +19,19 @@
 
 use crate::upstream::Instance;
 
-/// Fraction of the engines that load at once: one in so many.
+/// One engine in this many may load at once.
 const LOADING_SHARE: usize = 5;
-/// Fraction of the engines that may be closed to new requests at once, loading or
-/// not: one in so many.
+/// One engine in this many may be closed to new requests at once, loading or not.
 const CLOSED_SHARE: usize = 2;
-/// Number of engines that may load, or be closed, at once on a site of any size.
+/// Number of engines that may always load at once, and be closed at once, on a
+/// site of any size.
 const MIN_LOADING: usize = 3;
 
 /// Maximum number of versions kept: more are never in use at once.
 const MAX_VERSIONS: usize = 32;
 
-/// Assumed age in seconds of weights that were announced before this process
-/// started, until another host reports their age.
+/// Assumed age of weights that were announced before this process started, until
+/// another host reports their age.
 const ASSUMED_AGE: Duration = Duration::from_secs(3);
 
 /// The weights versions announced for one model, and when each was announced.
@@ -58,16 +58,16 @@
 #[derive(Debug, Clone, Copy)]
 struct Version {
     number: u64,
-    /// How long before `seen_at` it was announced.
-    age_when_seen: Duration,
-    seen_at: Duration,
-    /// Whether that time is known; if not, it is [`ASSUMED_AGE`].
+    /// How long before `recorded_at` it was announced.
+    age_when_recorded: Duration,
+    recorded_at: Duration,
+    /// Whether `age_when_recorded` is known; if not, it is [`ASSUMED_AGE`].
     age_known: bool,
 }
 
 impl Version {
     fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.seen_at) + self.age_when_seen
+        now.saturating_sub(self.recorded_at) + self.age_when_recorded
     }
 }
 
@@ -102,13 +102,13 @@
     /// ```
     pub fn record_reported(&mut self, version: u64, age: Duration, now: Duration) {
         let reported =
-            Version { number: version, age_when_seen: age, seen_at: now, age_known: true };
+            Version { number: version, age_when_recorded: age, recorded_at: now, age_known: true };
         let at = self.versions.partition_point(|v| v.number < version);
         match self.versions.get_mut(at) {
             Some(entry) if entry.number == version && entry.age_known && age <= entry.age(now) => {}
             Some(entry) if entry.number == version => *entry = reported,
-            // The store lists only the newest version to a host that starts, so one
-            // announced between is known only from other hosts.
+            // The store lists only the newest version to a host that starts, so an
+            // older one is known only from other hosts.
             Some(_) => self.versions.insert(at, reported),
             // Newer than any that this host knows: it will be read from the store.
             None => {}
@@ -127,8 +127,8 @@
         }
         self.versions.push(Version {
             number: version,
-            age_when_seen: age,
-            seen_at: now,
+            age_when_recorded: age,
+            recorded_at: now,
             age_known,
         });
         if self.versions.len() > MAX_VERSIONS {
@@ -179,7 +179,7 @@
     pub version: u64,
     /// The version that it has been ordered to load, while the outcome is not known.
     pub changing: Option<u64>,
-    /// Time before which it gets no order, since one failed.
+    /// Time before which it is sent no order, since one failed.
     pub pause: Option<Duration>,
     /// Number of requests that it has to finish first.
     pub work: u64,
--- a/crates/core/src/stop.rs
+++ b/crates/core/src/stop.rs
@@ -2,7 +2,7 @@
 //!
 //! Callers that cached an address go on sending requests to a host that is
 //! shutting down, for some seconds. The requests it accepts must end before the
-//! process does. For the period [`ACCEPT_ALL`] all requests are accepted as before;
+//! process does. For the period `ACCEPT_ALL` all requests are accepted as before;
 //! after that, only those whose time limit ends before the process does. The
 //! others are rejected at once as not executed, while the caller still has nearly
 //! all of its time to try another host.
--- a/crates/core/src/store_availability.rs
+++ b/crates/core/src/store_availability.rs
@@ -32,8 +32,8 @@
 /// the hosts and serves the others.
 const OUTAGE_QUORUM: f64 = 0.2;
 
-/// Minimum number of hosts that must see errors, whatever the fraction gives; all
-/// of them if there are fewer.
+/// Minimum number of hosts that must see errors, even if the fraction gives fewer;
+/// with fewer hosts than this, all of them.
 const MIN_QUORUM: usize = 2;
 
 /// Window within which these hosts must see errors; a host calls the store about
--- a/crates/core/src/switches.rs
+++ b/crates/core/src/switches.rs
@@ -16,15 +16,15 @@
     /// rendezvous hashing.
     PreferredEngines,
     /// Cached shared prompt parts are copied from the engine or cache store that
-    /// holds them.
+    /// has them cached.
     Copies,
     /// Cached shared prompt parts are saved to the cache stores and copied from
     /// there.
     Stores,
     /// Small prompts prefer a partition of the engines, large ones the others.
     SizePartitions,
-    /// With many hosts, each request is compared only over a few engines sampled
-    /// by hashing.
+    /// With many hosts, only a few engines, sampled by hashing, are compared for
+    /// each request.
     EngineSampling,
     /// Large prompts wait at the router, not in the engine's queue, when others
     /// are ahead of them.
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -55,9 +55,9 @@
 ///
 /// ```
 /// use marjoram_core::upstream::Instance;
-/// let life: Instance = "i-7f3a91c2@1764720000000".parse().unwrap();
-/// assert_eq!((life.id.0.as_str(), life.born.0), ("i-7f3a91c2", 1_764_720_000_000));
-/// assert_eq!(life.to_string(), "i-7f3a91c2@1764720000000");
+/// let instance: Instance = "i-7f3a91c2@1764720000000".parse().unwrap();
+/// assert_eq!((instance.id.0.as_str(), instance.born.0), ("i-7f3a91c2", 1_764_720_000_000));
+/// assert_eq!(instance.to_string(), "i-7f3a91c2@1764720000000");
 /// assert_eq!("i-7f3a91c2".parse::<Instance>().unwrap().born.0, 0);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -153,7 +153,7 @@
     /// An upstream was removed.
     Left,
     /// The entry of an upstream was lost in an outage of the store; the upstream
-    /// is kept until the time to publish it again has passed.
+    /// is kept for up to [`REPUBLISH_GRACE`] after that.
     Missing,
 }
 
--- a/crates/core/tests/quota_model/world.rs
+++ b/crates/core/tests/quota_model/world.rs
@@ -224,18 +224,18 @@
 
     fn reachability(&self, n: usize) -> Hosts {
         let host = &self.hosts[n];
-        let (mut heard, mut silent) = (1, HashSet::new());
+        let (mut reachable, mut unreachable) = (1, HashSet::new());
         for other in (0..self.hosts.len()).filter(|other| *other != n) {
             let last = host.last_heartbeats.get(&other);
             match last {
-                Some(at) if self.now < *at + HEARTBEAT_TIMEOUT => heard += 1,
+                Some(at) if self.now < *at + HEARTBEAT_TIMEOUT => reachable += 1,
                 _ if self.now < *last.unwrap_or(&host.added) + RESERVATION_TIME => {
-                    silent.insert(other as u64);
+                    unreachable.insert(other as u64);
                 }
                 _ => {}
             }
         }
-        Hosts { heard, silent }
+        Hosts { reachable, unreachable }
     }
 
     /// The quota coordinators of the workspace as known to host `n`: the reachable hosts with the
--- a/crates/router/src/proxy/hosts.rs
+++ b/crates/router/src/proxy/hosts.rs
@@ -223,14 +223,18 @@
     }
 
     /// The hosts as the quota accounts need them: how many send heartbeats, and
-    /// which have been silent for less than `span`.
+    /// which have been unreachable for less than `span`.
     pub fn quota_hosts(&self, span: Duration) -> Hosts {
         let (now, peer_timeout) = (self.now.get(), self.peer_timeout());
         let known = self.known.borrow();
-        let heard = known.values().filter(|p| p.is_alive(now, peer_timeout)).count() + 1;
+        let reachable = known.values().filter(|p| p.is_alive(now, peer_timeout)).count() + 1;
         let is_recent = |p: &Peer| now < p.last_heartbeat.unwrap_or(p.added) + span;
-        let silent = known.iter().filter(|(_, p)| !p.is_alive(now, peer_timeout) && is_recent(p));
-        Hosts { heard, silent: silent.map(|(name, _)| xxh3_64(name.as_bytes())).collect() }
+        let unreachable =
+            known.iter().filter(|(_, p)| !p.is_alive(now, peer_timeout) && is_recent(p));
+        Hosts {
+            reachable,
+            unreachable: unreachable.map(|(name, _)| xxh3_64(name.as_bytes())).collect(),
+        }
     }
 
     /// Addresses at which the other hosts take callers, of those that do.
--- a/crates/router/src/proxy/quota.rs
+++ b/crates/router/src/proxy/quota.rs
@@ -140,8 +140,8 @@
         if before.unwrap_or_default() != limited {
             tracing::info!(target: "quota", workspace = config.name, limited,
                 pass = status.admission_ratio, level = status.level, demand = status.demand,
-                rate = quota.rate, reserved = status.reserved, heard = hosts.heard,
-                silent = hosts.silent.len(), "quota limiting of workspace started or ended");
+                rate = quota.rate, reserved = status.reserved, heard = hosts.reachable,
+                silent = hosts.unreachable.len(), "quota limiting of workspace started or ended");
         }
     }
     *site.quotas.hosts.borrow_mut() = hosts;
@@ -165,7 +165,7 @@
     for usage in usages {
         groups.entry(group(usage.workspace, quotas.len())).or_default().push(usage);
     }
-    let own = site.is_ready().then(|| site.settings.load().capacity.room());
+    let own = site.is_ready().then(|| site.settings.load().capacity.control_capacity());
     for (group, usages) in groups {
         for coordinator in site.peers.hosts_by_capacity(group, COORDINATORS, own) {
             for chunk in usages.chunks(MAX_BATCH) {
--- a/crates/router/src/proxy/site.rs
+++ b/crates/router/src/proxy/site.rs
@@ -164,7 +164,7 @@
     pub fn room(&self) -> ControlCapacity {
         match self.now() < self.no_leadership_until.get() {
             true => ControlCapacity::default(),
-            false => self.settings.load().capacity.room(),
+            false => self.settings.load().capacity.control_capacity(),
         }
     }
 
