--- a/crates/core/src/cache.rs
+++ b/crates/core/src/cache.rs
@@ -1,21 +1,23 @@
-//! The router's picture of which engine holds which cache block.
+//! The router's cache index: which engine has which prompt block cached.
 //!
-//! The picture is built from the engines' cache events, which come late and
-//! with gaps, and from the router's own dispatches, which predict what an
-//! engine will hold once it has computed a prompt. It is a guess: routing
-//! may use it, correctness must not. Three rules keep the guess safe:
+//! The index is built from the engines' cache events, which arrive late and
+//! with gaps, and from the router's own dispatches, which predict the blocks an
+//! engine will have cached once it has computed a prompt. It is an estimate:
+//! routing may use it, correctness must not depend on it. Three rules keep it
+//! safe to use:
 //!
-//! - Every slot records the incarnation and model version its entries were
-//!   learnt under. Events of another incarnation or version clear the slot
-//!   first, so a restarted engine or new weights never inherit old entries.
+//! - Each slot records the incarnation and model version that its entries
+//!   belong to. Events of another incarnation or version clear the slot first, so
+//!   a restarted engine or new weights never inherit old entries.
 //! - Block hashes are salted by workspace and version (see [`crate::prefix`]),
 //!   so one workspace's entries never match another's prompt.
-//! - A dead engine's slot is cleared as soon as the router learns of it.
+//! - The slot of an engine that has failed is cleared as soon as the router
+//!   detects the failure.
 //!
-//! Shape: a table of up to [`MAX_SLOTS`] engines, and 16 shards mapping a
-//! block hash to a 64-bit mask of the slots that hold it (about 17 bytes an
-//! entry with the map's own overhead). Reads and writes take one shard's
-//! lock at a time.
+//! Structure: a table of up to [`MAX_SLOTS`] engines, and 16 shards that map a
+//! block hash to a 64-bit mask of the slots that have the block (about 17 bytes
+//! per entry, including the map's overhead). Reads and writes lock one shard at
+//! a time.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -25,12 +27,13 @@
 
 use crate::ids::{BlockHash, Incarnation, ModelVersion};
 
-/// Engines one picture can hold: one pool, such as the runners of one model.
+/// Maximum number of engines in an index: one pool, such as the engines of one
+/// model.
 pub const MAX_SLOTS: usize = 64;
 
 const SHARDS: usize = 16;
 
-/// Index of an engine in a picture, below [`MAX_SLOTS`].
+/// Position of an engine in a cache index, below [`MAX_SLOTS`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Slot(pub u8);
 
@@ -46,25 +49,25 @@
     }
 }
 
-/// What one slot's entries were learnt under.
+/// The engine process and weights that a slot's entries belong to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct Life {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// The weights it serves.
+    /// Version of the weights it serves.
     pub version: ModelVersion,
 }
 
-/// Counters of what the picture has seen, for the state dump.
+/// Counters of a cache index, for the state dump.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Counts {
-    /// Block entries now held, over all slots.
+    /// Current number of block entries over all slots.
     pub entries: u64,
-    /// Times a slot was cleared (restart, new weights or death).
+    /// Number of times a slot was cleared (restart, new weights or failure).
     pub clears: u64,
 }
 
-/// Which engine holds which block, as far as the router knows.
+/// Index of the blocks that each engine has cached, as far as the router knows.
 #[derive(Debug)]
 pub struct Picture {
     shards: Vec<RwLock<HashMap<u64, u64>>>,
@@ -79,7 +82,7 @@
 }
 
 impl Picture {
-    /// An empty picture.
+    /// An empty index.
     pub fn new() -> Self {
         Self {
             shards: (0..SHARDS).map(|_| RwLock::new(HashMap::new())).collect(),
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Records that `slot` holds `blocks`, learnt under `life`.
+    /// Records that `slot` has cached `blocks`, as reported under `life`.
     ///
     /// A `life` other than the slot's current one clears the slot first.
     pub fn stored(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Records that `slot` will hold `blocks` once it has computed a prompt
-    /// the router sent it; ignored unless `life` is the slot's current one.
+    /// Records that `slot` will have cached `blocks` once it has computed a prompt
+    /// that the router sent it; ignored unless `life` is the slot's current one.
     pub fn predicted(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
         if self.life(slot) != Some(life) {
             return;
@@ -111,7 +114,8 @@
         }
     }
 
-    /// Records that `slot` evicted `blocks`; ignored for another life.
+    /// Records that `slot` evicted `blocks`; ignored unless `life` is the slot's
+    /// current one.
     pub fn removed(&self, slot: Slot, life: Life, blocks: &[BlockHash]) {
         if self.life(slot) != Some(life) {
             return;
@@ -121,19 +125,19 @@
         }
     }
 
-    /// Forgets everything about `slot`: the engine died or left.
+    /// Removes all entries of `slot`, whose engine failed or left.
     pub fn clear(&self, slot: Slot) {
         self.lives.write().unwrap()[usize::from(slot.0)] = None;
         self.drop_slot(slot);
     }
 
-    /// The life the slot's entries were learnt under, if any.
+    /// The engine process and weights that the slot's entries belong to, if any.
     pub fn life(&self, slot: Slot) -> Option<Life> {
         self.lives.read().unwrap()[usize::from(slot.0)]
     }
 
-    /// For each slot in `candidates`, how many leading blocks of `blocks` it
-    /// holds; the result is indexed like `candidates`.
+    /// For each slot in `candidates`, the number of leading blocks of `blocks` that
+    /// it has cached; the result is indexed like `candidates`.
     ///
     /// ```
     /// use marjoram_core::cache::{Life, Picture, Slot};
@@ -144,15 +148,15 @@
     /// assert_eq!(picture.matched(&blocks, &[Slot(0), Slot(1)]), vec![2, 0]);
     /// ```
     pub fn matched(&self, blocks: &[BlockHash], candidates: &[Slot]) -> Vec<u32> {
-        let mut live = candidates.iter().fold(0u64, |mask, slot| mask | slot.bit());
+        let mut matching = candidates.iter().fold(0u64, |mask, slot| mask | slot.bit());
         let mut depth = [0u32; MAX_SLOTS];
         for (index, block) in blocks.iter().enumerate() {
             let held = self.shard(*block).read().unwrap().get(&block.0).copied().unwrap_or(0);
-            live &= held;
-            if live == 0 {
+            matching &= held;
+            if matching == 0 {
                 break;
             }
-            let mut rest = live;
+            let mut rest = matching;
             while rest != 0 {
                 let slot = rest.trailing_zeros() as usize;
                 depth[slot] = index as u32 + 1;
@@ -162,7 +166,7 @@
         candidates.iter().map(|slot| depth[usize::from(slot.0)]).collect()
     }
 
-    /// Every block `slot` is believed to hold, in no order; walks every shard.
+    /// All blocks indexed for `slot`, in no particular order; visits every shard.
     pub fn held(&self, slot: Slot) -> Vec<BlockHash> {
         let mut blocks = Vec::new();
         for shard in &self.shards {
@@ -173,7 +177,7 @@
         blocks
     }
 
-    /// Counters for the state dump; walks every shard.
+    /// Counters for the state dump; visits every shard.
     pub fn counts(&self) -> Counts {
         let entries = self
             .shards
@@ -185,7 +189,7 @@
         Counts { entries, clears: self.clears.load(std::sync::atomic::Ordering::Relaxed) }
     }
 
-    /// Starts `slot` on `life`, clearing entries of any other life.
+    /// Assigns `slot` to `life`, and clears the entries of any other one.
     pub fn begin(&self, slot: Slot, life: Life) {
         if self.life(slot) == Some(life) {
             return;
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -1,5 +1,5 @@
-//! The published configuration: which request goes to which service, for
-//! which workspace, and what may be done with it.
+//! The published configuration: routes from requests to services, workspaces and
+//! their limits, and which requests may be retried.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use crate::host::DataCentre;
 use crate::quota::Quota;
 
-/// What may be repeated of a request.
+/// Whether and how a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// Must run at most once for each attempt of a caller.
     NonIdempotent,
-    /// A stream of events; may be taken up at another upstream only where
+    /// Answered by a stream of events, which another upstream may continue only if
     /// it is resumable.
     Stream {
         /// Whether another upstream may continue it.
@@ -27,7 +27,7 @@
 }
 
 impl Kind {
-    /// Whether a request that may have run can be sent again from its start.
+    /// Whether a request that may already have run can be retried from its start.
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service's name.
@@ -52,60 +52,60 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host name callers ask for, in lower case.
+    /// Host name of its requests, in lower case.
     pub host: String,
-    /// What its paths begin with.
+    /// Path prefix of its requests.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: Kind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time that a caller waits for an answer.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Latency target; an answer that takes longer is late.
     pub target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that take its requests.
+    /// Services that get its requests.
     pub shares: Vec<Share>,
-    /// Upstreams one attempt of a caller may be sent to.
+    /// Maximum number of upstreams that one attempt of a caller is sent to.
     pub attempts: u32,
-    /// Whether it is open to callers without a key.
+    /// Whether callers without an API key may use it.
     pub public: bool,
 }
 
 impl Route {
-    /// The service that takes the request with the hash `key`, the same one
-    /// each time.
+    /// The service that gets the request with the hash `key`, chosen by weight;
+    /// the same hash always gives the same service.
     pub fn service(&self, key: u64) -> Option<&str> {
         let total: u64 = self.shares.iter().map(|s| u64::from(s.weight)).sum();
-        let mut at = key.checked_rem(total)?;
+        let mut position = key.checked_rem(total)?;
         for share in &self.shares {
             match u64::from(share.weight) {
-                weight if at < weight => return Some(&share.service),
-                weight => at -= weight,
+                weight if position < weight => return Some(&share.service),
+                weight => position -= weight,
             }
         }
         None
     }
 }
 
-/// What the configuration publishes of a service's engines.
+/// Published properties of a service's engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests one engine runs at once.
+    /// Requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens one engine has memory for.
+    /// Tokens that one engine has memory for.
     pub capacity: u64,
-    /// Bytes of memory a token takes.
+    /// Bytes of memory per token.
     pub token_bytes: f64,
     /// Speed of an engine's link, in megabits a second.
     pub link_mbps: f64,
-    /// Calls for cache events an engine holds at once.
+    /// Maximum number of concurrent long-poll calls for cache events at an engine.
     pub listeners: u32,
-    /// Models it serves.
+    /// Models that the engines serve.
     pub models: Vec<String>,
 }
 
-/// A store of kept prompt caches.
+/// An external store of prompt caches.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CacheStore {
     /// Its address.
@@ -114,18 +114,18 @@
     pub dc: DataCentre,
     /// Speed of its link, in megabits a second.
     pub link_mbps: f64,
-    /// Hosts that may wait for its events at once.
+    /// Maximum number of hosts that wait for its events at once.
     pub listeners: u32,
 }
 
-/// What a service is.
+/// The kind of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Role {
     /// Runs plain calls.
     Plain,
     /// Runs a language model.
     Engine(EngineSpec),
-    /// Keeps prompt caches; takes no requests.
+    /// Stores prompt caches; accepts no requests of callers.
     Store(CacheStore),
 }
 
@@ -134,9 +134,9 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// What it is.
+    /// Its kind.
     pub role: Role,
-    /// Connections one of its upstreams takes from all callers together.
+    /// Maximum number of connections that one of its upstreams accepts in total.
     pub connections: u32,
     /// The path of its health check.
     pub health: String,
@@ -147,26 +147,26 @@
 pub struct Workspace {
     /// Its name.
     pub name: String,
-    /// Keys its callers show.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Goes before the priority of a route.
+    /// Overrides the priority of a route.
     pub priority: Option<u8>,
     /// Shares no prompt cache with other workspaces.
     pub isolated: bool,
-    /// How much it may send; `None` for no limit.
+    /// Limit on its requests; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request's head.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request's body.
     pub body: usize,
-    /// Time for the head to arrive.
+    /// Maximum time for the head to arrive.
     pub head_time: Duration,
-    /// Time a connection may stay idle.
+    /// Maximum time that a connection stays idle.
     pub idle: Duration,
 }
 
@@ -181,29 +181,30 @@
     }
 }
 
-/// A configuration in full.
+/// A complete configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Its version; a later one is higher.
+    /// Its version; later configurations have higher ones.
     pub version: u64,
     /// Limits on what callers send.
     pub limits: Limits,
     /// Services, by name.
     pub services: HashMap<String, Service>,
-    /// Workspaces; `None` where callers need no key.
+    /// Workspaces; `None` if callers need no API key.
     pub workspaces: Option<Vec<Arc<Workspace>>>,
-    /// Routes by host name, the longest prefix first.
+    /// Routes by host name, the longest path prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
+    /// Workspaces by API key.
     keys: HashMap<String, Arc<Workspace>>,
 }
 
 impl Catalog {
-    /// A configuration with `version`, without routes.
+    /// A configuration with `version` and `limits`, without routes.
     pub fn new(version: u64, limits: Limits) -> Self {
         Self { version, limits, ..Self::default() }
     }
 
-    /// With `routes`.
+    /// Adds `routes`.
     pub fn with_routes(mut self, routes: impl IntoIterator<Item = Route>) -> Self {
         for route in routes {
             self.routes.entry(route.host.clone()).or_default().push(Arc::new(route));
@@ -214,13 +215,13 @@
         self
     }
 
-    /// With `services`.
+    /// Adds `services`.
     pub fn with_services(mut self, services: impl IntoIterator<Item = Service>) -> Self {
         self.services.extend(services.into_iter().map(|s| (s.name.clone(), s)));
         self
     }
 
-    /// With `workspaces`: callers need a key from now on.
+    /// Sets `workspaces`; callers then need an API key.
     pub fn with_workspaces(mut self, workspaces: impl IntoIterator<Item = Workspace>) -> Self {
         let all: Vec<Arc<Workspace>> = workspaces.into_iter().map(Arc::new).collect();
         for workspace in &all {
@@ -233,7 +234,7 @@
     }
 
     /// The route of a request for `path` at `host`: the one with the longest
-    /// prefix that begins the path.
+    /// matching path prefix.
     ///
     /// ```
     /// use marjoram_core::catalog::{Catalog, Kind, Limits, Route};
@@ -260,17 +261,17 @@
         self.routes.get(&name)?.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The workspace that holds `key`.
+    /// The workspace with the API key `key`.
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.keys.get(key)
     }
 
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.values().flatten()
     }
 
-    /// What is published of the engines of `service`.
+    /// Published properties of the engines of `service`.
     pub fn engine(&self, service: &str) -> Option<&EngineSpec> {
         match &self.services.get(service)?.role {
             Role::Engine(spec) => Some(spec),
@@ -278,7 +279,7 @@
         }
     }
 
-    /// The stores of kept prompt caches.
+    /// The external stores of prompt caches.
     pub fn cache_stores(&self) -> impl Iterator<Item = &CacheStore> {
         self.services.values().filter_map(|s| match &s.role {
             Role::Store(store) => Some(store),
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -2,26 +2,27 @@
 //!
 //! Before a router sends a call that carries an idempotency key, it appends
 //! a [`ClaimRecord::Claim`] to the log service's `claims` stream, then reads
-//! the stream to its end, which its own claim lies before. The log's order
-//! decides: the first claim for a key holds it, and only the holder sends the
-//! call. The holder then appends the call's [`ClaimRecord::Outcome`], which
-//! later claims for the key are answered with. A holder that learns it did not
-//! send the call appends [`ClaimRecord::Abandon`], which frees the key for the
-//! next claim, and does so too when it stops waiting for its claim to be
-//! appended: a claim that arrives after its abandon holds nothing.
+//! the stream to its end, by which it has read its own claim. The log's order
+//! decides: the first claim for a key becomes its holder, and only the holder
+//! sends the call. The holder then appends the call's [`ClaimRecord::Outcome`],
+//! which is the answer to all later claims for the key. A holder that did not
+//! send the call after all appends [`ClaimRecord::Abandon`], which frees the key
+//! for the next claim. It also does so when it stops waiting for its claim to be
+//! appended: a claim that arrives after its abandon record has no effect.
 //!
-//! No router ever sends a call it has not seen itself hold, so a call runs
-//! at most once however claims, answers and routers are lost; every router
-//! that has read the same records decides the same. A claim whose holder
-//! died after sending stays held with no outcome: its key is answered
-//! "outcome unknown" until the record expires, never run again.
+//! A router never sends a call before it has read that its own claim is the
+//! holder, so a call runs at most once, whichever claims, answers and routers
+//! are lost; all routers that have read the same records decide the same. The
+//! key of a holder that crashed after sending stays claimed without an outcome:
+//! its callers are answered "outcome unknown" until the record expires, and the
+//! call is never run again.
 //!
-//! The log service keeps records for a limited time, and so a key is
-//! protected that long: [`Claims::forget_before`] drops the keys whose last
-//! record has expired, and takes a reader that starts after them to the
-//! oldest record kept. A claimant must act on its claim, or abandon it,
-//! well within that time (the router allows it a few seconds), since a later
-//! claimant may not be able to see a claim that has expired.
+//! The log service retains records for a limited time, so a key is protected
+//! for that long: [`Claims::forget_before`] drops the keys whose last record has
+//! expired, and moves a reader that is behind to the oldest retained record. A
+//! claimant must act on its claim, or abandon it, well within the retention time
+//! (the router allows a few seconds), since a later claimant may not be able to
+//! read a claim that has expired.
 
 use std::collections::HashMap;
 
@@ -33,18 +34,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum ClaimRecord {
-    /// `owner` asks to send the call with idempotency key `key`.
+    /// `owner` requests to send the call with idempotency key `key`.
     Claim {
         /// The idempotency key.
         key: String,
-        /// Who claims: the router's address and its request id.
+        /// The claimant: the router's address and its request id.
         owner: String,
     },
-    /// `owner` sent the call and got this answer.
+    /// `owner` sent the call and received this answer.
     Outcome {
         /// The idempotency key.
         key: String,
-        /// The holder that sent it.
+        /// The holder that sent the call.
         owner: String,
         /// The service's answer.
         answer: Answer,
@@ -53,20 +54,20 @@
     Abandon {
         /// The idempotency key.
         key: String,
-        /// The holder giving it up.
+        /// The claimant that gives up the key.
         owner: String,
     },
 }
 
-/// A plain service's answer, kept for replay to later claims.
+/// A plain service's answer, stored for replay to later claims.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Its content type.
+    /// Content type.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Body; base64 on the wire, since it need not be text.
+    /// Body; base64 on the wire, since it may be binary.
     #[serde(with = "base64_bytes")]
     pub body: Vec<u8>,
 }
@@ -86,16 +87,16 @@
     }
 }
 
-/// What a claimant should do.
+/// How a claimant must proceed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// The claimant holds the key: send the call.
+    /// The claimant is the holder of the key and must send the call.
     Send,
-    /// The call ran already; answer with its outcome.
+    /// The call already ran; answer with its outcome.
     Done(Answer),
-    /// Another claimant holds the key and no outcome is known.
+    /// Another claimant is the holder and no outcome is known.
     Held(String),
-    /// The claimant's claim was not found up to the offset read.
+    /// The claimant's claim is not among the records read so far.
     Unseen,
 }
 
@@ -104,13 +105,13 @@
     holder: Option<String>,
     outcome: Option<Answer>,
     claims: Vec<(Offset, String)>,
-    /// Claimants that gave up; their claims may still arrive, and hold nothing.
+    /// Claimants that gave up; their claims may still arrive and are ignored.
     abandoned: Vec<String>,
     /// Offset of the key's last record.
     last: Offset,
 }
 
-/// The claims read so far, by key.
+/// State of all keys according to the records read so far.
 #[derive(Debug, Clone, Default)]
 pub struct Claims {
     keys: HashMap<String, Key>,
@@ -120,18 +121,19 @@
 }
 
 impl Claims {
-    /// No claims read yet.
+    /// State before any record is read.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The offset the next record read must have.
+    /// Offset of the next record to read.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Applies the record at `offset`; ignores offsets already read and
-    /// returns false for an offset beyond a gap, which must be read again.
+    /// Applies the record at `offset`; ignores offsets already read. Returns
+    /// false if records before `offset` are missing, so that it must be read
+    /// again after them.
     ///
     /// ```
     /// use marjoram_core::claims::{ClaimRecord, Claims, Decision};
@@ -151,22 +153,22 @@
         }
         match record {
             ClaimRecord::Claim { key, owner } => {
-                let entry = self.touch(key, offset);
+                let entry = self.entry_at(key, offset);
                 entry.claims.push((offset, owner.clone()));
-                let gone = entry.abandoned.contains(owner);
-                if entry.holder.is_none() && entry.outcome.is_none() && !gone {
+                let abandoned = entry.abandoned.contains(owner);
+                if entry.holder.is_none() && entry.outcome.is_none() && !abandoned {
                     entry.holder = Some(owner.clone());
                 }
             }
             ClaimRecord::Outcome { key, owner, answer } => {
-                // Only a holder sends, so an outcome holds even when the
-                // claim it belongs to expired before this reader began.
-                let entry = self.touch(key, offset);
+                // Only a holder sends the call, so an outcome is valid even if its
+                // claim expired before this reader started.
+                let entry = self.entry_at(key, offset);
                 entry.holder = Some(owner.clone());
                 entry.outcome = Some(answer.clone());
             }
             ClaimRecord::Abandon { key, owner } => {
-                let entry = self.touch(key, offset);
+                let entry = self.entry_at(key, offset);
                 entry.abandoned.push(owner.clone());
                 if entry.holder.as_ref() == Some(owner) && entry.outcome.is_none() {
                     entry.holder = None;
@@ -176,21 +178,21 @@
         true
     }
 
-    fn touch(&mut self, key: &str, offset: Offset) -> &mut Key {
+    fn entry_at(&mut self, key: &str, offset: Offset) -> &mut Key {
         let entry = self.keys.entry(key.into()).or_default();
         entry.last = offset;
         entry
     }
 
-    /// Passes over the record at `offset`, which could not be decoded.
+    /// Skips the record at `offset`, which could not be decoded.
     pub fn skip(&mut self, offset: Offset) {
         if offset == self.next {
             self.next = Offset(offset.0 + 1);
         }
     }
 
-    /// Drops keys whose last record lies before `oldest`, which the log no
-    /// longer keeps, and never reads before it.
+    /// Drops keys whose last record is before `oldest`, the oldest offset that
+    /// the log still retains, and continues reading no earlier than there.
     ///
     /// ```
     /// use marjoram_core::claims::{ClaimRecord, Claims};
@@ -203,22 +205,23 @@
     /// ```
     pub fn forget_before(&mut self, oldest: Offset) {
         self.next = self.next.max(oldest);
-        // Sweeping walks every key: wait until a share of them has expired.
+        // A sweep visits every key, so it is delayed until the log has dropped more
+        // records than an eighth of the number of keys.
         if oldest.0.saturating_sub(self.swept.0) > self.keys.len() as u64 / 8 {
             self.swept = oldest;
             self.keys.retain(|_, key| key.last >= oldest);
         }
     }
 
-    /// What `owner`, whose claim for `key` was appended at `claimed`, should
-    /// do, judged on the records read so far (which must reach `claimed`).
+    /// How `owner`, whose claim for `key` was appended at `claimed`, must proceed
+    /// according to the records read so far, which must include `claimed`.
     pub fn decide(&self, key: &str, owner: &str, claimed: Offset) -> Decision {
         let Some(entry) = self.keys.get(key) else {
             return Decision::Unseen;
         };
-        let seen = entry.claims.iter().any(|(o, who)| *o == claimed && who == owner);
+        let claim_read = entry.claims.iter().any(|(o, who)| *o == claimed && who == owner);
         match (&entry.outcome, &entry.holder) {
-            _ if !seen => Decision::Unseen,
+            _ if !claim_read => Decision::Unseen,
             (Some(answer), _) => Decision::Done(answer.clone()),
             (None, Some(holder)) if holder == owner => Decision::Send,
             (None, Some(holder)) => Decision::Held(holder.clone()),
@@ -226,12 +229,12 @@
         }
     }
 
-    /// Keys with a claim read, for the state dump.
+    /// Number of keys with a record, for the state dump.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no claim has been read.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/core/src/exchange.rs
+++ b/crates/core/src/exchange.rs
@@ -1,5 +1,5 @@
-//! What passes between callers, router and upstreams beside bodies, in the
-//! project's own terms. Adapters define the wire format.
+//! Metadata that callers, router and upstreams exchange besides bodies,
+//! independent of the wire format, which adapters define.
 
 use std::fmt;
 use std::str::FromStr;
@@ -29,7 +29,7 @@
 impl FromStr for PartId {
     type Err = Error;
 
-    /// Hexadecimal ids are kept; a longer text is hashed.
+    /// A hexadecimal id of up to 64 bits is used as it is; any other text is hashed.
     fn from_str(text: &str) -> Result<Self, Error> {
         match u64::from_str_radix(text, 16) {
             Ok(id) => Ok(Self(id)),
@@ -42,38 +42,39 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Its id: requests with the same part share its cache.
+    /// Its id: requests that contain the same part can share its cached tokens.
     pub id: PartId,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What a model is asked to read and write.
+/// A prompt and the maximum length of its completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Prompt {
     /// The model.
     pub model: String,
     /// Parts in order; the last belongs to the request or its session.
     pub parts: Vec<Part>,
-    /// Prompt tokens in all.
+    /// Prompt tokens of all parts.
     pub input: u64,
-    /// Maximum tokens to be written.
+    /// Maximum tokens to generate.
     pub output: u64,
 }
 
 impl Prompt {
-    /// The parts that other requests may share, the outermost first.
+    /// The parts that other requests may share, in prompt order.
     pub fn shared_parts(&self) -> &[Part] {
         &self.parts[..self.parts.len().saturating_sub(1)]
     }
 
-    /// Tokens of the parts that other requests may share.
+    /// Total tokens of the parts that other requests may share.
     pub fn shared(&self) -> u64 {
         self.shared_parts().iter().map(|p| p.tokens).sum()
     }
 
-    /// Key of the whole chain of shared parts: prompts that differ in any of
-    /// them have another one, however much of the chain they share.
+    /// Hash of the whole prefix path (all shared parts in order): prompts that
+    /// differ in any shared part have different hashes, however long their common
+    /// prefix is.
     ///
     /// ```
     /// use marjoram_core::exchange::{Part, PartId, Prompt};
@@ -93,57 +94,57 @@
     }
 }
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Asked {
     /// Id of this attempt of the caller.
     pub attempt: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for an answer.
     pub deadline: Option<Duration>,
-    /// The key it shows.
+    /// API key.
     pub key: Option<String>,
-    /// What a model is asked for.
+    /// Prompt, for a request to a language model.
     pub prompt: Option<Prompt>,
-    /// The last event it already has.
+    /// Last event of a stream that the caller already received.
     pub last_event: Option<u64>,
-    /// Tokens to be read and written, where it states them.
+    /// Prompt and completion tokens that the request declares.
     pub tokens: Option<u64>,
 }
 
-/// What the router sends to an upstream with a request.
+/// Metadata that the router sends to an upstream with a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Envelope {
-    /// How long the caller still waits.
+    /// Time for which the caller still waits.
     pub left: Duration,
-    /// The only upstream that is to run it.
+    /// The only upstream that may run the request.
     pub upstream: Option<UpstreamId>,
     /// The caller's workspace.
     pub workspace: Option<String>,
-    /// Rank at the upstream; 0 is first.
+    /// Priority at the upstream; 0 is the most urgent.
     pub rank: Option<u8>,
-    /// The only weights that are to run it.
+    /// The only version of the weights that may run it.
     pub weights: Option<u64>,
-    /// The cache its parts are kept in.
+    /// Name of the cache that its parts are stored in.
     pub salt: Option<String>,
-    /// Where parts are fetched from.
+    /// Source from which cached parts are fetched.
     pub fetch: Option<String>,
-    /// Where parts are sent to.
+    /// Destination to which cached parts are saved.
     pub save: Option<String>,
-    /// The last event the caller has had.
+    /// Last event of a stream that the caller already received.
     pub last_event: Option<u64>,
 }
 
-/// What an upstream's answer says of itself.
+/// Metadata of an upstream's answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Mark {
-    /// The attempt it answers.
+    /// Id of the attempt that it answers.
     pub attempt: Option<String>,
-    /// It bears the upstream's mark.
+    /// It carries the upstream's response seal.
     pub sealed: bool,
-    /// The request was not run and never will be.
+    /// The request was not run and will not be.
     pub not_run: bool,
-    /// The upstream that answers, where it says so.
+    /// Id of the upstream that answers, if stated.
     pub upstream: Option<UpstreamId>,
-    /// The weights that ran it.
+    /// Version of the weights that ran the request.
     pub weights: Option<u64>,
 }
--- a/crates/core/src/holdings.rs
+++ b/crates/core/src/holdings.rs
@@ -1,16 +1,16 @@
-//! Which parts of prompts an engine or a cache store keeps, according to its
-//! events.
+//! Index of the prompt parts that an engine or a cache store has cached, built
+//! from its events.
 //!
-//! The events come late and a few are lost, so this is an estimate: a wrong one
-//! costs a copy or a read, never a wrong answer, since the engine checks its
-//! own cache. It is kept by cache and part in one map per engine; the number of
+//! The events arrive late and a few are lost, so the index is an estimate: an
+//! error costs a copy or a prefill, never a wrong answer, since the engine checks
+//! its own cache. There is one map per engine, by cache and part; the number of
 //! engines is not limited.
 //!
 //! Load pattern: more hosts than an engine lets read its events, and more
 //! parts than all engines together have memory for. A host that does not know
-//! where a part is kept has it read again, which evicts another one. So the
-//! few hosts that read an engine's events pass on what they say of large
-//! parts, each event twice; their numbers give the order.
+//! where a part is cached causes it to be prefilled again, which evicts another
+//! part. So the few hosts that read an engine's events pass on those of large
+//! parts to the others, each event twice; event numbers give the order.
 
 use std::collections::HashMap;
 
@@ -19,11 +19,11 @@
 use crate::exchange::{Part, PartId};
 use crate::upstream::Born;
 
-/// Tokens by which a kept part may be shorter than the part: memory goes by
-/// blocks, the last of which is not kept unless it is full.
+/// Tokens by which a cached part may be shorter than the whole part: caches
+/// store blocks, and the last block is stored only if it is full.
 pub const BLOCK_SLACK: u64 = 16;
 
-/// Name of a cache, hashed: parts are found only under the same name.
+/// Hashed name of a cache; parts are shared only within one cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CacheId(pub u64);
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// Tokens from which hosts pass on events of a part: reading it again takes an
-/// engine tens of milliseconds.
+/// Tokens from which a part is large, so that hosts pass on its events:
+/// prefilling it again takes an engine tens of milliseconds.
 pub const LARGE: u64 = 1_000;
 
-/// Parts remembered from other hosts, dropped ones included, before the
-/// dropped ones are forgotten.
-const MAX_HEARD: usize = 512;
+/// Number of entries, those of evicted parts included, from which an event
+/// received from another host first removes the entries of evicted parts.
+const MAX_ENTRIES: usize = 512;
 
-/// The number of one life of a cache: of its upstream, born at `born`, and of
-/// the cache itself, which counts its own restarts.
+/// Epoch of a cache: it identifies the incarnation of the upstream, by its
+/// start time `born`, and of the cache itself, which counts its `restarts`.
 ///
 /// ```
 /// use marjoram_core::holdings::epoch;
@@ -58,33 +58,33 @@
     }
 }
 
-/// One change of what is kept.
+/// One change of a cache's contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Its number: later changes have higher ones.
+    /// Sequence number: later changes have higher ones.
     pub number: u64,
     /// The cache.
     pub cache: CacheId,
     /// The part.
     pub part: PartId,
-    /// Tokens of it that are kept now.
+    /// Tokens of the part that are cached now; 0 once it was evicted.
     pub tokens: u64,
 }
 
-/// Events read at once.
+/// Events read in one call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
-    /// One life of the cache: everything is dropped when it changes.
+    /// Epoch of the cache; entries of another epoch are dropped.
     pub epoch: u64,
-    /// Where to read on.
+    /// Position from which to read the next page.
     pub next: u64,
-    /// Some events were dropped before they could be read.
+    /// Some events were discarded before they could be read.
     pub lost: bool,
     /// The events.
     pub events: Vec<Event>,
 }
 
-/// What one engine or store keeps.
+/// Index of the parts that one engine or store has cached.
 ///
 /// ```
 /// use marjoram_core::exchange::{Part, PartId};
@@ -104,39 +104,39 @@
     kept: HashMap<(CacheId, PartId), Kept>,
 }
 
-/// What is known of one part.
+/// Index entry of one part.
 #[derive(Debug, Clone, Copy, Default)]
 struct Kept {
-    /// Tokens of it that are kept; none once it was dropped.
+    /// Tokens of the part that are cached; 0 once it was evicted.
     tokens: u64,
-    /// The number of that event.
+    /// Number of the event that reported this.
     number: u64,
 }
 
 impl Holdings {
-    /// Nothing known.
+    /// An empty index.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Where to read on.
+    /// Position from which to read the next page of events.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Parts known to be kept.
+    /// Number of entries, including evicted parts that are not yet removed.
     pub fn len(&self) -> usize {
         self.kept.len()
     }
 
-    /// Whether no part is known to be kept.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.kept.is_empty()
     }
 
-    /// Applies events; whether the cache began a new life.
+    /// Applies events read from the cache. Returns whether its epoch changed.
     pub fn apply(&mut self, page: &Page) -> bool {
-        let reborn = self.enter(page.epoch);
+        let new_epoch = self.set_epoch(page.epoch);
         self.next = page.next;
         for event in &page.events {
             match event.tokens {
@@ -144,10 +144,11 @@
                 _ => self.put(event),
             }
         }
-        reborn
+        new_epoch
     }
 
-    /// The events of `page`, not yet applied, that concern large parts.
+    /// The events of `page` that concern parts which are large, or were before
+    /// the event. To be called before the page is applied.
     ///
     /// ```
     /// use marjoram_core::exchange::PartId;
@@ -172,8 +173,8 @@
         page.events.iter().filter(large).copied().collect()
     }
 
-    /// Applies an event that another host read of a cache in its life `epoch`.
-    /// One older than the last of the same part changes nothing.
+    /// Applies an event that another host read from the cache in its epoch
+    /// `epoch`. Ignores it if a newer event of the same part is known.
     ///
     /// ```
     /// use marjoram_core::exchange::{Part, PartId};
@@ -188,8 +189,8 @@
     /// assert_eq!(holdings.held(cache, &parts), 0);
     /// ```
     pub fn hear(&mut self, epoch: u64, event: &Event) {
-        self.enter(epoch);
-        if self.kept.len() >= MAX_HEARD {
+        self.set_epoch(epoch);
+        if self.kept.len() >= MAX_ENTRIES {
             self.kept.retain(|_, kept| kept.tokens > 0);
         }
         let known = self.kept.get(&(event.cache, event.part));
@@ -203,47 +204,54 @@
         self.kept.insert((event.cache, event.part), kept);
     }
 
-    /// Forgets everything if this is another life of the cache; whether it is.
-    fn enter(&mut self, epoch: u64) -> bool {
-        let reborn = self.epoch.is_some_and(|known| known != epoch);
-        if reborn {
+    /// Clears the index if `epoch` is another epoch of the cache. Returns whether
+    /// it is.
+    fn set_epoch(&mut self, epoch: u64) -> bool {
+        let new_epoch = self.epoch.is_some_and(|known| known != epoch);
+        if new_epoch {
             self.kept.clear();
         }
         self.epoch = Some(epoch);
-        reborn
+        new_epoch
     }
 
-    /// Forgets everything: other weights are in use.
+    /// Removes all entries: the engine has activated other weights.
     pub fn clear(&mut self) {
         self.kept.clear();
     }
 
-    /// Leading tokens of `parts` that are kept in `cache`.
+    /// Number of leading tokens of `parts` that are cached in `cache`.
     pub fn held(&self, cache: CacheId, parts: &[Part]) -> u64 {
         self.held_or(cache, parts, |_| false)
     }
 
-    /// Leading tokens of `parts` that are kept in `cache`, where those that
-    /// `surely` names are kept whole, whatever the events say so far. A part is
-    /// of use only with those before it, which were used as recently: if it is
-    /// kept, so are they, though events of small parts are not passed on.
+    /// Number of leading tokens of `parts` that are cached in `cache`. Parts for
+    /// which `known_cached` is true count as cached in full, whatever the events have
+    /// reported so far. A part is usable only together with those before it, which
+    /// were used as recently: if a part is cached, all parts before it are assumed
+    /// to be, since events of small parts are not passed on.
     ///
     /// ```
     /// use marjoram_core::exchange::{Part, PartId};
     /// use marjoram_core::holdings::{CacheId, Holdings};
     /// let part = |id| Part { id: PartId(id), tokens: 500 };
     /// let (cache, holdings) = (CacheId::new("3"), Holdings::new());
-    /// // The outer part was just read there, which says nothing of the inner one.
+    /// // The first part was just prefilled there; the second is not known to be cached.
     /// let held = holdings.held_or(cache, &[part(1), part(2)], |p| p.id == PartId(1));
     /// assert_eq!(held, 500);
     /// ```
-    pub fn held_or(&self, cache: CacheId, parts: &[Part], surely: impl Fn(&Part) -> bool) -> u64 {
-        let kept = |part: &Part| match surely(part) {
+    pub fn held_or(
+        &self,
+        cache: CacheId,
+        parts: &[Part],
+        known_cached: impl Fn(&Part) -> bool,
+    ) -> u64 {
+        let kept = |part: &Part| match known_cached(part) {
             true => part.tokens,
             false => self.kept.get(&(cache, part.id)).map_or(0, |k| k.tokens.min(part.tokens)),
         };
-        let whole = parts.iter().rposition(|p| kept(p) + BLOCK_SLACK >= p.tokens);
-        let (before, after) = parts.split_at(whole.map_or(0, |last| last + 1));
+        let last_whole = parts.iter().rposition(|p| kept(p) + BLOCK_SLACK >= p.tokens);
+        let (before, after) = parts.split_at(last_whole.map_or(0, |last| last + 1));
         let assumed = |part: &Part| Some(kept(part)).filter(|k| *k > 0).unwrap_or(part.tokens);
         before.iter().map(assumed).sum::<u64>() + after.first().map_or(0, kept)
     }
--- a/crates/core/src/news.rs
+++ b/crates/core/src/news.rs
@@ -1,9 +1,11 @@
-//! Cache events that a host has read and sends to the others in its greetings.
+//! Cache updates: events that a host has read from a cache and passes on to the
+//! other hosts in its heartbeats.
 //!
 //! Load pattern: an engine lets fewer hosts read its events than there are,
-//! and each host greets each other one only every few hundred milliseconds, by
-//! datagrams that may be lost. So each event is sent to each host twice, and
-//! the newest come first when there are more than a greeting holds.
+//! and each host sends a heartbeat to each other host only every few hundred
+//! milliseconds, by datagrams that may be lost. So each event is sent to each
+//! host twice, and the newest are sent first when there are more than fit into a
+//! heartbeat.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,21 +15,21 @@
 use crate::exchange::PartId;
 use crate::holdings::{CacheId, Event};
 
-/// Events in one greeting: they fill a third of a packet.
+/// Maximum number of events in one heartbeat: they fill a third of a packet.
 const MAX_EVENTS: usize = 16;
 
-/// Events that may wait to be sent: after a burst the oldest are dropped.
-const MAX_WAITING: usize = 256;
+/// Maximum number of queued events: after a burst the oldest are dropped.
+const MAX_QUEUED: usize = 256;
 
-/// Epoch that marks a cache which is gone.
+/// Epoch that marks a cache which no longer exists.
 const NO_EPOCH: u64 = 0;
 
-/// One event of a cache, as hosts send it to each other.
+/// One cache event, in the form in which hosts send it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
     /// Key of the engine or the store.
     pub source: u64,
-    /// The cache's life.
+    /// Epoch of the cache, see [`crate::holdings::epoch`].
     pub epoch: u64,
     number: u64,
     cache: u64,
@@ -36,8 +38,8 @@
 }
 
 impl News {
-    /// Whether it is of the same part in the same cache as `other`.
-    fn is_of(&self, other: &Self) -> bool {
+    /// Whether it concerns the same part in the same cache as `other`.
+    fn same_part(&self, other: &Self) -> bool {
         (self.source, self.cache, self.part) == (other.source, other.cache, other.part)
     }
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// Events to be sent.
+/// Queue of the events to send.
 ///
 /// ```
 /// use std::time::Duration;
@@ -69,40 +71,41 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Digest {
-    waiting: VecDeque<(Duration, News)>,
+    queued: VecDeque<(Duration, News)>,
 }
 
 impl Digest {
-    /// No events.
+    /// An empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds `events` of the cache `source` in its life `epoch`, read at `now`.
+    /// Adds `events` of the cache `source` in its epoch `epoch`, read at `now`.
     pub fn add(&mut self, source: u64, epoch: u64, events: &[Event], now: Duration) {
         for event in events {
             let Event { number, cache, part, tokens } = *event;
-            let news = News { source, epoch, number, cache: cache.0, part: part.0, tokens };
-            // A part is read in pieces, each of them an event; the last is enough.
-            self.waiting.retain(|(_, told)| !told.is_of(&news));
-            self.waiting.push_back((now, news));
+            let update = News { source, epoch, number, cache: cache.0, part: part.0, tokens };
+            // A part is prefilled in chunks with an event each; the last one suffices.
+            self.queued.retain(|(_, queued)| !queued.same_part(&update));
+            self.queued.push_back((now, update));
         }
-        let excess = self.waiting.len().saturating_sub(MAX_WAITING);
-        self.waiting.drain(..excess);
+        let excess = self.queued.len().saturating_sub(MAX_QUEUED);
+        self.queued.drain(..excess);
     }
 
-    /// Adds that the cache `source` was found to be gone at `now`: what hosts
-    /// know of it is of another life.
+    /// Adds an update that the cache `source` no longer existed at `now`. It carries
+    /// another epoch, so receivers drop all they know of the cache.
     pub fn add_loss(&mut self, source: u64, now: Duration) {
-        let nothing = Event { number: 0, cache: CacheId(0), part: PartId(0), tokens: 0 };
-        self.add(source, NO_EPOCH, &[nothing], now);
+        let placeholder = Event { number: 0, cache: CacheId(0), part: PartId(0), tokens: 0 };
+        self.add(source, NO_EPOCH, &[placeholder], now);
     }
 
-    /// The newest events that were read within `span` before `now`.
+    /// The events that were read within `span` before `now`, the newest first, as
+    /// many as fit into a heartbeat.
     pub fn lately(&mut self, span: Duration, now: Duration) -> Vec<News> {
-        while self.waiting.front().is_some_and(|(at, _)| *at + span < now) {
-            self.waiting.pop_front();
+        while self.queued.front().is_some_and(|(at, _)| *at + span < now) {
+            self.queued.pop_front();
         }
-        self.waiting.iter().rev().take(MAX_EVENTS).map(|(_, news)| *news).collect()
+        self.queued.iter().rev().take(MAX_EVENTS).map(|(_, update)| *update).collect()
     }
 }
--- a/crates/core/src/place/worth.rs
+++ b/crates/core/src/place/worth.rs
@@ -73,7 +73,7 @@
     /// Tokens to prefill.
     read: u64,
     /// Those of them that some engine has prefilled before.
-    again: u64,
+    repeated: u64,
     /// Whether the other missing tokens are copied.
     copies: bool,
     /// Milliseconds for copy and prefill together.
@@ -102,18 +102,18 @@
         // At the preferred engine, only tokens known to be cached elsewhere count
         // as prefilled again: the rest is either cached there already, or is
         // prefilled for the first time where later requests will look for it.
-        let again = match preferred {
+        let repeated = match preferred {
             true if copies => 0,
             true => copied,
             false => read,
         };
         let ms = read as f64 / pace + if copies { copy_ms } else { 0.0 };
-        Self { read, again, copies, ms }
+        Self { read, repeated, copies, ms }
     }
 
     /// Value lost by the work that repeated prefill takes from other prompts.
     fn cost(self, need: Need) -> f64 {
-        REPEATED_PREFILL_COST * self.again as f64 / need.input.max(LARGE) as f64
+        REPEATED_PREFILL_COST * self.repeated as f64 / need.input.max(LARGE) as f64
     }
 }
 
--- a/crates/core/src/policy.rs
+++ b/crates/core/src/policy.rs
@@ -1,10 +1,10 @@
 //! Routing policies behind one small trait.
 //!
-//! A policy sees the request's prefix and, for each engine that may take it,
-//! a [`Candidate`]: its load and how many leading blocks of the prompt the
-//! router believes it holds. It returns the index of the chosen candidate.
-//! [`Router`] holds one of each policy and dispatches on [`PolicyName`] with
-//! a `match`, so the request path has no dynamic dispatch.
+//! A policy gets the request's prefix and, for each eligible engine, a
+//! [`Candidate`]: its load and the number of leading blocks of the prompt that
+//! the router's cache index lists for it. It returns the index of the chosen
+//! candidate. [`Router`] contains one instance of each policy and dispatches on
+//! [`PolicyName`] with a `match`, so the request path has no dynamic dispatch.
 
 mod least_load;
 pub mod maglev;
@@ -27,24 +27,24 @@
 use crate::params::Params;
 use crate::prefix::Prefix;
 
-/// One engine that may take a request.
+/// One engine that is eligible for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// The engine's slot in the cache picture.
+    /// The engine's slot in the cache index.
     pub slot: Slot,
     /// Stable key of the engine (a hash of its address), for hashing policies.
     pub key: u64,
     /// Requests in flight there: this router's own, and what the engine
     /// last reported beyond those.
     pub load: u32,
-    /// Prompt tokens this router has sent there that are not yet read, as
-    /// far as the picture tells.
+    /// Prompt tokens that this router has sent there and that are not yet
+    /// prefilled, according to the cache index.
     pub pending: Tokens,
-    /// Leading prompt blocks the engine is believed to hold.
+    /// Leading prompt blocks that the cache index lists for the engine.
     pub matched: u32,
 }
 
-/// What a policy is asked to decide on.
+/// The request that a policy chooses an engine for.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
     /// The prompt's blocks.
@@ -53,7 +53,7 @@
     pub params: &'a Params,
 }
 
-/// A way of choosing an engine for a request.
+/// Chooses an engine for a request.
 pub trait Policy {
     /// Index into `candidates` of the chosen engine; `None` when empty.
     fn pick(&self, ask: Ask<'_>, candidates: &[Candidate]) -> Option<usize>;
@@ -63,18 +63,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// Each engine in turn.
+    /// The engines in rotation.
     RoundRobin,
     /// The engine with the fewest requests in flight.
     LeastLoad,
-    /// Consistent hashing of the prompt's head, with bounded load.
+    /// Consistent hashing of the prompt's prefix, with bounded load.
     Maglev,
-    /// The engine with the most of the prompt cached, weighed against load.
+    /// The engine with the shortest expected prefill wait, cached prompt blocks
+    /// and load considered.
     PrefixAware,
 }
 
 impl PolicyName {
-    /// Every policy, in the order reports list them.
+    /// All policies, in the order in which reports list them.
     pub const ALL: [PolicyName; 4] =
         [Self::RoundRobin, Self::LeastLoad, Self::Maglev, Self::PrefixAware];
 }
@@ -101,7 +102,7 @@
     }
 }
 
-/// One instance of every policy; picks by name without dynamic dispatch.
+/// One instance of each policy, selected by name without dynamic dispatch.
 #[derive(Debug, Default)]
 pub struct Router {
     round_robin: RoundRobin,
@@ -111,12 +112,12 @@
 }
 
 impl Router {
-    /// A router with fresh policy state.
+    /// A router with the initial state of each policy.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Picks with the policy called `name`.
+    /// Chooses an engine by the policy `name`.
     ///
     /// ```
     /// use marjoram_core::cache::Slot;
--- a/crates/core/src/policy/least_load.rs
+++ b/crates/core/src/policy/least_load.rs
@@ -4,7 +4,7 @@
 
 use super::{Ask, Candidate, Policy};
 
-/// Picks the least loaded candidate; ties go round in turn.
+/// Picks the least loaded candidate; ties are broken in rotation.
 #[derive(Debug, Default)]
 pub struct LeastLoad {
     next: AtomicUsize,
--- a/crates/core/src/policy/maglev.rs
+++ b/crates/core/src/policy/maglev.rs
@@ -1,22 +1,22 @@
-//! Consistent hashing of the prompt's head, with bounded load.
+//! Consistent hashing of the prompt's prefix, with bounded load.
 //!
 //! The table follows section 3.4 of Eisenbud et al., "Maglev: A Fast and
 //! Reliable Software Network Load Balancer" (NSDI '16), as described in the
 //! maglev_ex release notes (`PAPER-maglev-ex-releases-v0-5683.md`). Two of
-//! its points are taken, each backed by a test or measurement here:
+//! its points are used, each backed by a test or benchmark of this crate:
 //!
 //! - Engines are sorted by key before the table is filled, so routers that
 //!   learn the same engines in different orders build the same table
 //!   (`maglev_table_ignores_order` in the tests).
-//! - All engines weigh the same, so only the scanning fill is kept; the
-//!   paper measures it fastest for equal weights. The build of 12 engines
-//!   is in `benches/routing.rs`.
+//! - All engines have equal weight, so only the scanning fill is implemented,
+//!   which the paper measures as the fastest for equal weights.
+//!   `benches/routing.rs` measures building a table of 12 engines.
 //!
 //! The key is the hash of the block at depth `hash_blocks` (or the last full
 //! block of a shorter prompt), so requests that share that much of a prefix
-//! meet on one engine. A hot prefix would overload its engine, so a pick
-//! over `load_bound` percent of the mean load walks on through the table to
-//! the next engine under the bound.
+//! are sent to the same engine. A hot prefix would overload its engine, so an
+//! engine over `load_bound` percent of the mean load is skipped for the next
+//! engine in the table that is within the bound.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 
 use super::{Ask, Candidate, Policy};
 
-/// Slots in a table: a prime well above the engines of one pool.
+/// Number of slots in a table: a prime well above the number of engines in a pool.
 pub const TABLE_SIZE: usize = 4093;
 
 /// A Maglev lookup table over a set of engine keys.
@@ -79,12 +79,12 @@
         Self { keys, entries }
     }
 
-    /// The sorted keys the table was built over.
+    /// The sorted keys that the table was built from.
     pub fn keys(&self) -> &[u64] {
         &self.keys
     }
 
-    /// The key owning `hash`, and the keys after it in table order.
+    /// The key in the slot of `hash`, followed by the keys of the later slots.
     pub fn walk(&self, hash: u64) -> impl Iterator<Item = u64> + '_ {
         let start = (hash % TABLE_SIZE as u64) as usize;
         (0..TABLE_SIZE)
@@ -92,7 +92,7 @@
     }
 }
 
-/// Maglev policy: keeps the table of the last candidate set it saw.
+/// Maglev policy; caches the table of the last candidate set.
 #[derive(Debug, Default)]
 pub struct Maglev {
     table: ArcSwapOption<MaglevTable>,
--- a/crates/core/src/policy/prefix_aware.rs
+++ b/crates/core/src/policy/prefix_aware.rs
@@ -1,14 +1,15 @@
-//! The engine that will have read the prompt soonest.
+//! Picks the engine that is expected to finish the prompt's prefill first.
 //!
-//! Each candidate costs the prompt tokens it has to read before the first
-//! token of this answer: those sent there and not yet read, those of this
-//! prompt it does not have cached, and `load_tokens` for every request in
-//! flight, which slows each step of its batch. The cheapest wins. So a hot
-//! prefix draws requests to the engine that holds it until waiting there
-//! costs more than reading the prefix again elsewhere.
+//! The cost of a candidate is the number of prompt tokens it has to prefill
+//! before the first token of this answer: those sent there and not yet
+//! prefilled, those of this prompt that it does not have cached, and
+//! `load_tokens` for each request in flight, which slows each step of its batch.
+//! The candidate with the lowest cost is picked. So requests with a hot prefix
+//! go to the engine that has it cached until waiting there costs more than
+//! prefilling the prefix again elsewhere.
 //!
-//! `balance_cap` bounds the requests by which the chosen engine may exceed
-//! the idlest, for engines that hold few at once.
+//! `balance_cap` limits by how many requests the picked engine may exceed the
+//! least loaded one, for engines that run few requests at once.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -33,9 +34,12 @@
         let count = candidates.len().max(1);
         let rotated = |i: usize| (i + count - turn % count) % count;
         let best = (0..candidates.len()).min_by_key(|&i| (cost(&candidates[i]), rotated(i)))?;
-        let idlest = (0..candidates.len()).min_by_key(|&i| (candidates[i].load, rotated(i)))?;
+        let least_loaded =
+            (0..candidates.len()).min_by_key(|&i| (candidates[i].load, rotated(i)))?;
         match candidates[best].load {
-            load if load > candidates[idlest].load + ask.params.balance_cap() => Some(idlest),
+            load if load > candidates[least_loaded].load + ask.params.balance_cap() => {
+                Some(least_loaded)
+            }
             _ => Some(best),
         }
     }
--- a/crates/core/src/policy/round_robin.rs
+++ b/crates/core/src/policy/round_robin.rs
@@ -1,10 +1,10 @@
-//! Each engine in turn.
+//! Round-robin routing.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use super::{Ask, Candidate, Policy};
 
-/// Hands requests to the candidates in turn; ignores load and cache.
+/// Picks the candidates in rotation; ignores load and cache.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: AtomicUsize,
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -1,44 +1,46 @@
-//! Telling all hosts the same thing through a few of them.
+//! Broadcasts a message to all hosts through a few relays.
 //!
-//! Load pattern: one host tells every other of each event itself. With 295
+//! Load pattern: one host sends each event to every other host itself. With 295
 //! hosts and 130 engines that change their weights, some 150,000 datagrams
-//! leave one host within seconds, its link is full, and its calls to the
-//! platform's store time out with everything else.
+//! leave one host within seconds and saturate its link, and its calls to the
+//! platform's store time out along with everything else.
 //!
-//! Limits: beyond [`DIRECT`] hosts a message is sent to the square root of
-//! their number, each of which passes it on to its slice of the hosts, so no
-//! host sends more than [`fan_out`] datagrams for a message. A slice is told
-//! by a seed rather than by its members: hosts that know different sets still
-//! cover all of them but those that only the relay does not know. Each message
-//! draws its slices anew, so a host whose relay is down hears the next one.
+//! Limits: with more than [`DIRECT`] hosts, a message is sent to as many relays
+//! as the square root of their number, and each relay forwards it to its slice
+//! of the hosts, so no host sends more than [`fan_out`] datagrams for a message.
+//! A slice is described by a seed rather than by its members: when sender and
+//! relay know different sets of hosts, only hosts that the relay does not know
+//! are missed. The slices are drawn again for each message, so a host whose
+//! relay is down receives the next one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::place;
 
-/// Most hosts that are told directly.
+/// Number of hosts up to which a message is sent to each host directly.
 pub const DIRECT: usize = 16;
 
-/// A part of the hosts, the same for whoever knows the same hosts.
+/// A subset of the hosts, chosen by hash: every host that knows the same hosts
+/// computes the same subset.
 ///
 /// ```
 /// use marjoram_core::spread::Slice;
 /// let slices: Vec<Slice> = (0..4).map(|index| Slice { seed: 9, count: 4, index }).collect();
-/// // Each host is in one of them.
+/// // Each host is in exactly one of them.
 /// assert!((0..100u64).all(|host| slices.iter().filter(|s| s.holds(host)).count() == 1));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slice {
-    /// Drawn for each message.
+    /// Random seed, drawn for each message.
     pub seed: u64,
-    /// Slices there are.
+    /// Number of slices.
     pub count: u32,
-    /// Which one this is.
+    /// Index of this slice, below `count`.
     pub index: u32,
 }
 
 impl Slice {
-    /// Whether it holds the host with the hashed name `host`.
+    /// Whether the host with the hashed name `host` is in this slice.
     pub fn holds(&self, host: u64) -> bool {
         place::rank(self.seed, host) % u64::from(self.count.max(1)) == u64::from(self.index)
     }
@@ -49,20 +51,22 @@
 pub struct Host {
     /// Its hashed name.
     pub name: u64,
-    /// It was heard lately, and so may pass messages on.
+    /// A heartbeat of it was received recently, so it can be used as a relay.
     pub heard: bool,
 }
 
 /// One datagram of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Leg {
-    /// The host that it goes to, as its place among those given.
+pub struct Datagram {
+    /// Index of the receiving host among those given to [`plan`].
     pub to: usize,
-    /// The hosts that this one passes the message on to.
+    /// The hosts that the receiver forwards the message to; `None` where every
+    /// host is sent the message directly.
     pub slice: Option<Slice>,
 }
 
-/// Datagrams that one host sends at most to tell `hosts` others.
+/// Maximum number of datagrams that one host sends to broadcast a message to
+/// `hosts` others.
 ///
 /// ```
 /// use marjoram_core::spread::fan_out;
@@ -75,29 +79,31 @@
     }
 }
 
-/// The datagrams by which one host tells `hosts`; `seed` is drawn for each
-/// message. Hosts that were heard lately pass it on to the others.
+/// The datagrams by which one host broadcasts a message to `hosts`; `seed` is
+/// drawn for each message. Relays are hosts with a recent heartbeat where there
+/// are any in the slice.
 ///
 /// ```
 /// use marjoram_core::spread::{Host, fan_out, plan};
 /// let hosts: Vec<Host> = (0..294).map(|name| Host { name, heard: name % 3 > 0 }).collect();
 /// let legs = plan(&hosts, 7);
 /// assert!(legs.len() <= fan_out(hosts.len()));
-/// // Relays and those they pass on to are all hosts.
+/// // The relays and the hosts they forward to are all hosts.
 /// let told = |host: &Host| legs.iter().any(|leg| leg.slice.unwrap().holds(host.name));
 /// assert!(hosts.iter().all(told));
 /// assert!(legs.iter().all(|leg| hosts[leg.to].heard));
 /// ```
-pub fn plan(hosts: &[Host], seed: u64) -> Vec<Leg> {
+pub fn plan(hosts: &[Host], seed: u64) -> Vec<Datagram> {
     if hosts.len() <= DIRECT {
-        return (0..hosts.len()).map(|to| Leg { to, slice: None }).collect();
+        return (0..hosts.len()).map(|to| Datagram { to, slice: None }).collect();
     }
     let count = fan_out(hosts.len()) as u32;
     let relay = |index| {
         let slice = Slice { seed, count, index };
-        let within = (0..hosts.len()).filter(|at| slice.holds(hosts[*at].name));
-        let to = within.max_by_key(|at| (hosts[*at].heard, place::rank(!seed, hosts[*at].name)))?;
-        Some(Leg { to, slice: Some(slice) })
+        let members = (0..hosts.len()).filter(|at| slice.holds(hosts[*at].name));
+        let to =
+            members.max_by_key(|at| (hosts[*at].heard, place::rank(!seed, hosts[*at].name)))?;
+        Some(Datagram { to, slice: Some(slice) })
     };
     (0..count).filter_map(relay).collect()
 }
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -1,12 +1,12 @@
-//! Upstreams as the registry lists them.
+//! Registry of the upstreams that can be sent requests.
 //!
-//! [`Registry`] takes in what the upstreams wrote of themselves, in whatever
-//! order it arrives, and says which of them may get work. Each entry carries
-//! when its upstream started and a number that grows with every statement of
-//! that life, so a statement that arrives late never undoes a newer one: an
-//! upstream that is leaving does not come back, one that has left is not
-//! listed again by an old statement, and one that started again under the id
-//! it had is not taken for the one before, whatever their numbers.
+//! [`Registry`] applies the entries that upstreams publish about themselves, in
+//! whatever order they arrive. Each entry carries the start time of its upstream
+//! and a sequence number that grows with every entry of that incarnation, so an
+//! entry that arrives late never overrides a newer one: an upstream that is
+//! leaving is not used again, an upstream that has left is not listed again by an
+//! old entry, and an upstream that was restarted under its former id is not
+//! mistaken for its previous incarnation, whatever their sequence numbers.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -19,7 +19,7 @@
 use crate::Error;
 use crate::host::DataCentre;
 
-/// The id that an upstream gives itself; one that starts again may keep it.
+/// The id that an upstream chooses for itself; it may keep it across restarts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamId(pub String);
@@ -30,7 +30,7 @@
     }
 }
 
-/// When an upstream started, in Unix milliseconds; zero where it does not say.
+/// Start time of an upstream in Unix milliseconds; 0 if it is not known.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -38,7 +38,7 @@
 pub struct Born(pub u64);
 
 impl Born {
-    /// Whether both may be the same start; a missing one matches any.
+    /// Whether both can be the same start time; an unknown one matches any.
     pub fn agrees(self, other: Self) -> bool {
         self == other || self == Self(0) || other == Self(0)
     }
@@ -50,8 +50,8 @@
     }
 }
 
-/// One life of an upstream, from its start to its end. What it keeps, counts
-/// and has promised ends with it.
+/// One incarnation of an upstream, from its start to its exit. Its caches,
+/// counters and announcements do not outlive it.
 ///
 /// ```
 /// use marjoram_core::upstream::Life;
@@ -64,7 +64,7 @@
 pub struct Life {
     /// The upstream.
     pub id: UpstreamId,
-    /// When it started.
+    /// Its start time.
     pub born: Born,
 }
 
@@ -82,80 +82,82 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let (id, born) = text.split_once('@').unwrap_or((text, "0"));
-        let wrong = |why| Error::Parse("life of an upstream", text.into(), why);
-        let born = born.parse().map_err(|_| wrong("its start is no whole number"))?;
+        let invalid = |why| Error::Parse("incarnation of an upstream", text.into(), why);
+        let born = born.parse().map_err(|_| invalid("start time is not a whole number"))?;
         match id {
-            "" => Err(wrong("no id")),
+            "" => Err(invalid("id is empty")),
             _ => Ok(Self { id: UpstreamId(id.into()), born: Born(born) }),
         }
     }
 }
 
-/// Weights of one model at an upstream.
+/// The weights that an upstream serves for one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Weights {
     /// The model.
     pub model: String,
-    /// Their version.
+    /// Version of the weights.
     pub version: u64,
 }
 
-/// What an upstream says of itself.
+/// The entry that an upstream publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its life.
+    /// Its id and start time.
     pub life: Life,
     /// The service it is part of.
     pub service: String,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub addr: SocketAddr,
     /// Its data centre.
     pub dc: DataCentre,
     /// Requests it runs at once.
     pub slots: u32,
-    /// It is leaving: no new work.
+    /// It is shutting down and must not be sent new requests.
     pub leaving: bool,
     /// The weights it serves.
     pub weights: Vec<Weights>,
-    /// Grows with every statement of this life.
+    /// Sequence number that grows with every entry of this incarnation.
     pub beat: u64,
 }
 
-/// How long after the store's return an entry that vanished meanwhile may
-/// still come back. The upstreams write again within about two seconds.
+/// Time after the store becomes available again during which entries that were
+/// lost in the outage are kept. Upstreams publish their entries again within
+/// about two seconds.
 pub const RETURN_TIME: Duration = Duration::from_secs(2);
 
 impl Entry {
-    /// Order of two statements of an upstream: the greater is the newer one.
+    /// Sort key of the entries of one upstream: the greater one is newer.
     fn order(&self) -> (Born, u64) {
         (self.life.born, self.beat)
     }
 }
 
-/// How long the last statement of an upstream that left is remembered, so that a
-/// late statement of it is known to be old.
+/// Time for which the position of an upstream's last entry is remembered after
+/// it left, so that entries which arrive late are recognized as old.
 const LEFT_TTL: Duration = Duration::from_secs(60);
 
-/// What a change to the registry did.
+/// The effect of an update on the registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: an old or equal statement.
+    /// None: the entry is old, or equal to the listed one.
     None,
-    /// An upstream is new.
+    /// A new upstream was added.
     Joined,
-    /// One changed what it says of itself.
+    /// The entry of an upstream changed.
     Changed,
-    /// One changed its weights, and nothing else.
+    /// The weights of an upstream changed, and nothing else.
     Weights,
-    /// One has started again under the id it had.
+    /// An upstream was restarted under its former id.
     Reborn,
-    /// One is gone.
+    /// An upstream was removed.
     Left,
-    /// One vanished while the store was away; it is kept until it is surely gone.
+    /// The entry of an upstream was lost in an outage of the store; the upstream
+    /// is kept until the time to publish it again has passed.
     Missing,
 }
 
-/// The upstreams that are listed.
+/// The listed upstreams.
 ///
 /// ```
 /// use std::time::Duration;
@@ -175,7 +177,7 @@
 /// assert_eq!(registry.state(entry.clone(), now), Change::Joined);
 /// let old = Entry { leaving: false, beat: 6, ..entry.clone() };
 /// assert_eq!(registry.state(old, now), Change::None);
-/// // It starts again: its numbers start anew, and it is not leaving.
+/// // It is restarted: its sequence numbers start over, and it is not leaving.
 /// let life = "i-1@2000".parse().unwrap();
 /// let again = Entry { life, leaving: false, beat: 1, ..entry.clone() };
 /// assert_eq!(registry.state(again, now), Change::Reborn);
@@ -184,11 +186,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     entries: HashMap<UpstreamId, Entry>,
-    /// Entries that vanished during an outage, and until when they are kept.
+    /// Entries lost during an outage of the store, and until when they are kept.
     missing: HashMap<UpstreamId, Duration>,
-    /// Last statements of upstreams that left, and when they did.
+    /// Positions of the last entries of upstreams that left, and when they left.
     left: HashMap<UpstreamId, ((Born, u64), Duration)>,
-    /// When the store last came back.
+    /// When the store last became available again.
     returned: Option<Duration>,
 }
 
@@ -198,17 +200,17 @@
         Self::default()
     }
 
-    /// Applies a statement at `now`.
+    /// Applies an entry that was received at `now`.
     pub fn state(&mut self, entry: Entry, now: Duration) -> Change {
         let id = entry.life.id.clone();
-        let left = self.left.get(&id).is_some_and(|(last, _)| entry.order() <= *last);
-        if left {
+        let outdated = self.left.get(&id).is_some_and(|(last, _)| entry.order() <= *last);
+        if outdated {
             return Change::None;
         }
         match self.entries.get_mut(&id) {
             Some(known) if entry.order() < known.order() => Change::None,
             Some(known) if entry.order() == known.order() => {
-                // The same statement again: the upstream is still there.
+                // The same entry again: the upstream is still listed.
                 self.missing.remove(&id);
                 Change::None
             }
@@ -219,11 +221,11 @@
             }
             Some(known) => {
                 let entry = Entry { leaving: entry.leaving || known.leaving, ..entry };
-                let same = Entry { beat: known.beat, ..entry.clone() };
-                let others = Entry { weights: known.weights.clone(), ..same.clone() };
+                let same_beat = Entry { beat: known.beat, ..entry.clone() };
+                let same_weights = Entry { weights: known.weights.clone(), ..same_beat.clone() };
                 let change = match () {
-                    () if same == *known => Change::None,
-                    () if others == *known => Change::Weights,
+                    () if same_beat == *known => Change::None,
+                    () if same_weights == *known => Change::Weights,
                     () => Change::Changed,
                 };
                 self.missing.remove(&id);
@@ -238,15 +240,17 @@
         }
     }
 
-    /// The record under the key of `id`, read at `now`, cannot be decoded: it
-    /// was written by another program. The upstream listed before is removed
-    /// until its next statement, due within about a second, since a host that
-    /// starts now finds only that record, and all hosts are to list the same.
+    /// Handles a record under the key of `id`, read at `now`, that cannot be
+    /// decoded because another program wrote it. The upstream is removed until
+    /// its next entry, due within about a second: a host that starts now reads
+    /// only the invalid record, and all hosts must list the same upstreams.
     pub fn spoil(&mut self, id: &UpstreamId, now: Duration) -> Change {
         self.remove(id, now)
     }
 
-    /// The entry of `id` is no longer listed at `now`.
+    /// Handles that the store no longer lists `id` at `now`. The upstream is
+    /// removed, or kept as missing for up to [`RETURN_TIME`] after an outage of
+    /// the store unless it was leaving.
     pub fn unlist(&mut self, id: &UpstreamId, now: Duration) -> Change {
         let grace = self.returned.map(|at| at + RETURN_TIME).filter(|until| now < *until);
         match (self.entries.get(id), grace) {
@@ -259,16 +263,17 @@
         }
     }
 
-    /// The store answers again at `now`, after it did not.
+    /// Records that the store became available again at `now`.
     pub fn returned(&mut self, now: Duration) {
         self.returned = Some(now);
     }
 
-    /// Entries not listed in full list `ids`, read at `now`, are unlisted.
+    /// Unlists the upstreams that are not in `ids`, the full list read at `now`.
     pub fn retain(&mut self, ids: &[UpstreamId], now: Duration) -> Vec<(UpstreamId, Change)> {
-        let gone: Vec<UpstreamId> =
+        let unlisted: Vec<UpstreamId> =
             self.entries.keys().filter(|id| !ids.contains(id)).cloned().collect();
-        gone.into_iter()
+        unlisted
+            .into_iter()
             .map(|id| {
                 let change = self.unlist(&id, now);
                 (id, change)
@@ -276,23 +281,23 @@
             .collect()
     }
 
-    /// Whether the entry of `id` vanished lately, and is kept for now.
+    /// Whether the entry of `id` was lost in an outage and is still kept.
     pub fn is_missing(&self, id: &UpstreamId) -> bool {
         self.missing.contains_key(id)
     }
 
-    /// Removes what has been missing for too long at `now`.
+    /// Removes missing upstreams whose grace period has ended at `now`.
     pub fn expire(&mut self, now: Duration) -> Vec<UpstreamId> {
-        let due: Vec<UpstreamId> = self
+        let expired: Vec<UpstreamId> = self
             .missing
             .iter()
             .filter(|(_, until)| now >= **until)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &due {
+        for id in &expired {
             self.remove(id, now);
         }
-        due
+        expired
     }
 
     fn remove(&mut self, id: &UpstreamId, now: Duration) -> Change {
